--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 NAME ?= overhead
 ARGUMENTS ?=
 
-.PHONY: bench clean demo format lint lock test
+.PHONY: bench clean demo format lint lock names test
 
 $(STAMP): pyproject.toml constraints.txt
 	python3 -m venv $(VENV)
@@ -29,6 +29,10 @@
 	$(PYTHON) -m ruff check --fix .
 	$(PYTHON) -m ruff format .
 
+# Lists uses of names that are not defined; compare it before and after a rename.
+names: $(STAMP)
+	$(PYTHON) -m mypy celeryspan standins bench tests
+
 bench: $(STAMP)
 	$(PYTHON) -m bench $(NAME) $(ARGUMENTS)
 
