--- a/bench/admission.py
+++ b/bench/admission.py
@@ -194,11 +194,11 @@
         cost = 500.0 if index % 8 == 0 else 10.0
         at = 0.1 * index + rng.random()
         calls.append(one_router.Call(at, "a", cost, patience=120.0, hint=cost))
-    kept, queueing.LONG_SHARE = queueing.LONG_SHARE, share
+    kept, queueing.MAX_LONG_SLOT_SHARE = queueing.MAX_LONG_SLOT_SHARE, share
     try:
         records = router.run(calls)
     finally:
-        queueing.LONG_SHARE = kept
+        queueing.MAX_LONG_SLOT_SHARE = kept
     return summarise_times([one for one in records if one.call.cost < 100.0])
 
 
@@ -220,7 +220,7 @@
         "slow server, no ejection": measure_slow(False),
         "slow server, ejection": measure_slow(True),
         "short among long, no bound": measure_long(1.0),
-        "short among long, bound": measure_long(queueing.LONG_SHARE),
+        "short among long, bound": measure_long(queueing.MAX_LONG_SLOT_SHARE),
     }
     print()
     for name, result in table.items():
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -52,9 +52,9 @@
     servers = [spec for spec in owner.trace.servers if spec.service == service]
     rate = sum(spec.slots * spec.rate for spec in servers)
     seconds = node.TICK_SECONDS + owner.trace.link_seconds + world.RETRANSMIT_SECONDS
-    seconds += grants.LEARN_SECONDS
+    seconds += grants.LIFT_WARMUP_SECONDS
     seconds += _find_unheard(owner.trace)
-    return owner.trace.routers * exchange.BOUND_UNITS + rate * seconds
+    return owner.trace.routers * exchange.MAX_UNREPORTED_UNITS + rate * seconds
 
 
 def _find_unheard(trace: traces.Trace) -> float:
@@ -65,7 +65,9 @@
     for fault in trace.faults:
         if fault.kind == "cut":
             healed = min((at for at in heals if at >= fault.at), default=end)
-            total += healed - fault.at + world.DETECT_SECONDS + grants.LEARN_SECONDS
+            total += (
+                healed - fault.at + world.DETECT_SECONDS + grants.LIFT_WARMUP_SECONDS
+            )
         if fault.kind == "restart":
-            total += world.RESTART_SECONDS + grants.LEARN_SECONDS
+            total += world.RESTART_SECONDS + grants.LIFT_WARMUP_SECONDS
     return total
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -121,7 +121,7 @@
     def play() -> None:
         for index in range(size):
             demand = pass_on(make_grant_messages(index)[0])
-            ledger.report(OWN, demand, index * 0.01)
+            ledger.update_demand(OWN, demand, index * 0.01)
             ledger.issue(index * 0.01)
 
     return play
@@ -169,16 +169,16 @@
     work = dispatch.Work(request, SERVICE, account, now + 30.0)
     control.admit(work, 1000, 250.0, now, 0.5)
     demand = pass_on(queues.demand(SERVICE, account, index + 1, now))
-    ledger.report(OWN, demand, now)
+    ledger.update_demand(OWN, demand, now)
     for issued in ledger.issue(now):
         grant = pass_on(issued.grant)
         entry = queues.pick(SERVICE, grant.account, grant.server, now)
         if entry is None:
             continue
         used = (grant.grant, grant.server, grant.account)
-        ledger.used(OWN, pass_on(messages.GrantUsed(*used, 250.0)), now)
-        queues.end(entry.work.request, now + 1.0)
-        ledger.ended(OWN, pass_on(messages.GrantEnded(*used, 251.0)), now)
+        ledger.mark_used(OWN, pass_on(messages.GrantUsed(*used, 250.0)), now)
+        queues.finish(entry.work.request, now + 1.0)
+        ledger.end_grant(OWN, pass_on(messages.GrantEnded(*used, 251.0)), now)
 
 
 def pass_on(message: messages.Message) -> messages.Message:
@@ -212,7 +212,7 @@
 def prepare_counters(size: int) -> Callable[[], object]:
     """Return a call that exchanges counters between two routers."""
     other = sharing.Counters(ids.RouterId("router-0002"), INCARNATION, lambda _: 1.0)
-    rule = exchange.Exchange(exchange.Units())
+    rule = exchange.CounterReporter(exchange.ThresholdRule())
     counters = make_counters(size)
     units = {(one.service, one.account): one.units for one in counters}
 
--- a/bench/node.py
+++ b/bench/node.py
@@ -51,9 +51,9 @@
         self.ledger = grants.Ledger(
             self.name, self.incarnation, self.counters, **fleet.ledger_options
         )
-        self.exchange = exchange.Exchange(fleet.make_rule())
-        self.demands = exchange.Demands()
-        self.estimator = sharing.Estimator()
+        self.exchange = exchange.CounterReporter(fleet.make_rule())
+        self.demands = exchange.DemandReporter()
+        self.estimator = sharing.CostEstimator()
         self.queues: dict[Key, collections.deque[world.Job]] = {}
         self.running: dict[world.Job, messages.Grant] = {}
         self.units: dict[Key, float] = {}
@@ -89,14 +89,14 @@
         """Give a slot back with the true cost of its request."""
         grant = self.running.pop(job)
         self.count(job, job.request.cost)
-        self.estimator.settle(*job.key, job.request.cost)
+        self.estimator.record_cost(*job.key, job.request.cost)
         self.give_back(grant, job.request.cost)
 
     def count(self, job: world.Job, given: float) -> None:
         """Count service that has streamed since the last look."""
         units = given - job.told
         job.told = given
-        self.counters.give(*job.key, units)
+        self.counters.record_service(*job.key, units)
         self.units[job.key] = self.units.get(job.key, 0.0) + units
 
     def give_back(self, grant: messages.Grant, cost: float) -> None:
@@ -109,10 +109,10 @@
         if key in self.planned:
             return
         waiting = len(self.queues[key])
-        believers = self.demands.believers(key)
+        believers = self.demands.informed_homes(key)
         urgent = bool(believers) != bool(waiting)
         self.planned.add(key)
-        seconds = BATCH_SECONDS if urgent else exchange.DEMAND_SECONDS
+        seconds = BATCH_SECONDS if urgent else exchange.DEMAND_BATCH_SECONDS
         self.world.after(seconds, self.tell_demand, key)
 
     def tell_demand(self, key: Key) -> None:
@@ -122,11 +122,11 @@
             return
         now, waiting = self.world.now, len(self.queues[key])
         stage = self.demands.find_stage(key, waiting, now)
-        targets = dict.fromkeys(self.demands.believers(key))
+        targets = dict.fromkeys(self.demands.informed_homes(key))
         targets.update(dict.fromkeys(self.pick_homes(key, stage)))
         for home in targets:
-            if self.demands.belief(key, home) != waiting:
-                self.demands.tell(key, home, waiting)
+            if self.demands.reported_waiting(key, home) != waiting:
+                self.demands.record_report(key, home, waiting)
                 self.sequence += 1
                 self.send(int(home[7:]), Node.take_demand, self.make_demand(key))
         if stage is exchange.Stage.ONE:
@@ -140,11 +140,11 @@
         if stage is exchange.Stage.NONE or not names:
             return ()
         if stage is exchange.Stage.ALL:
-            attempt = self.demands.find_attempt(key, self.world.now)
+            attempt = self.demands.find_sample_number(key, self.world.now)
             return homes.sample(set(names.values()), self.name, key[0], attempt)
         self.turn += 1
         first = homes.pick_first(names, self.name, key[0], self.turn)
-        return () if self.demands.believers(key) or first is None else (first,)
+        return () if self.demands.informed_homes(key) or first is None else (first,)
 
     def make_demand(self, key: Key) -> messages.Demand:
         """Return the report of a queue."""
@@ -157,21 +157,21 @@
 
     def take_demand(self, sender: int, demand: messages.Demand) -> None:
         """Act as home: note a report."""
-        self.ledger.report(self.fleet.names[sender], demand, self.world.now)
+        self.ledger.update_demand(self.fleet.names[sender], demand, self.world.now)
         self.issue()
 
     def take_used(self, sender: int, used: messages.GrantUsed) -> None:
         """Act as home: note that a request was sent."""
-        self.ledger.used(self.fleet.names[sender], used, self.world.now)
+        self.ledger.mark_used(self.fleet.names[sender], used, self.world.now)
 
     def take_ended(self, sender: int, ended: messages.GrantEnded) -> None:
         """Act as home: note that a slot is free."""
-        self.ledger.ended(self.fleet.names[sender], ended, self.world.now)
+        self.ledger.end_grant(self.fleet.names[sender], ended, self.world.now)
         self.issue()
 
     def take_held(self, sender: int, held: messages.SlotsHeld) -> None:
         """Act as home: note which slots a router holds."""
-        self.ledger.hold(self.fleet.names[sender], held, self.world.now)
+        self.ledger.set_held(self.fleet.names[sender], held, self.world.now)
         self.issue()
 
     def take_leaving(self, sender: int, server: str) -> None:
@@ -198,7 +198,7 @@
             return
         queue.popleft()
         self.running[job] = grant
-        self.demands.use(key, self.fleet.names[sender], self.world.now)
+        self.demands.record_use(key, self.fleet.names[sender], self.world.now)
         used = messages.GrantUsed(grant.grant, grant.server, grant.account, 0.0)
         self.send_home(grant.server, Node.take_used, used)
         self.plan_demand(key)
@@ -206,7 +206,7 @@
     def refuse(self, key: Key, grant: messages.Grant) -> None:
         """Return a grant unused; its home takes it that nothing waits here."""
         home = self.homes[grant.service][grant.server]
-        self.demands.tell(key, self.fleet.names[home], 0)
+        self.demands.record_report(key, self.fleet.names[home], 0)
         self.give_back(grant, 0.0)
         self.plan_demand(key)
 
@@ -217,8 +217,8 @@
         for job in self.running:
             self.count(job, self.world.given(job))
         self.tell(self.find_counters())
-        self.tell(self.ledger.take_lifts())
-        self.tell(self.ledger.take_pending())
+        self.tell(self.ledger.pop_lifts())
+        self.tell(self.ledger.pop_pending())
         self.ledger.expire(self.world.now)
         self.issue()
         self.world.after(TICK_SECONDS, self.tick)
@@ -253,7 +253,7 @@
 
     def take_snapshot(self, sender: int, snapshot: sharing.Snapshot) -> None:
         """Take in what a peer knows."""
-        self.counters.adopt(snapshot)
+        self.counters.load_snapshot(snapshot)
 
     def change_view(self) -> None:
         """Follow the membership: homes move, and routers that are gone are freed."""
@@ -305,7 +305,7 @@
     def move(self, server: str, service: str, old: int | None, new: int) -> None:
         """Follow the move of one server's home."""
         if old == self.index:
-            self.ledger.drop_server(server)
+            self.ledger.remove_server(server)
         if new == self.index:
             spec = self.world.servers[server].spec
             awaited = [self.fleet.names[item] for item in self.view]
--- a/bench/one_router.py
+++ b/bench/one_router.py
@@ -116,7 +116,7 @@
         self.events.append((now, routing.CacheEvent(sequence, stored, block)))
 
 
-Admit = Callable[["Router", dispatch.Work, float], admission.Verdict]
+Admit = Callable[["Router", dispatch.Work, float], admission.AdmissionResult]
 ADMISSIONS: dict[str, Admit] = {}
 
 
@@ -133,7 +133,7 @@
 @register_admission("celeryspan")
 def admit_by_drain_rate(
     router: Router, work: dispatch.Work, estimate: float
-) -> admission.Verdict:
+) -> admission.AdmissionResult:
     """Admit as the package does."""
     return router.admission.admit(
         work, router.body_bytes, estimate, router.now, router.rng.random()
@@ -143,7 +143,7 @@
 @register_admission("open")
 def admit_all(
     router: Router, work: dispatch.Work, estimate: float
-) -> admission.Verdict:
+) -> admission.AdmissionResult:
     """Admit everything."""
     return admission.Admitted(router.queues.add(work, 1, estimate, router.now))
 
@@ -151,7 +151,7 @@
 @register_admission("bounded")
 def admit_by_count(
     router: Router, work: dispatch.Work, estimate: float
-) -> admission.Verdict:
+) -> admission.AdmissionResult:
     """Refuse above a fixed number of waiting requests, each for the same time."""
     if router.queues.waiting(work.service, work.account) >= admission.MAX_WAITING:
         reason = admission.Reason.QUEUE_FULL
@@ -190,7 +190,7 @@
         mechanisms: Mechanisms | None = None,
         seed: int = 1,
         body_bytes: int = 1000,
-        bounds: admission.Bounds | None = None,
+        bounds: admission.AdmissionLimits | None = None,
     ) -> None:
         self.servers = {server.name: server for server in servers}
         self.mechanisms = mechanisms or Mechanisms()
@@ -348,7 +348,7 @@
         self._send(server, entry)
         return True
 
-    def _make_fit(self, server: Server) -> queueing.Fit:
+    def _make_fit(self, server: Server) -> queueing.Affinity:
         if self.mechanisms.affinity == "here":
             return lambda work: self.cache.cached(server.name, work.prefix)
         return lambda work: self.routing.fit(server.name, work)
@@ -359,7 +359,7 @@
         others = frozenset(name for name in self.servers if name != best)
         return msgspec.structs.replace(work, excluded=others)
 
-    def _send(self, server: Server, entry: queueing.Entry) -> None:
+    def _send(self, server: Server, entry: queueing.QueuedRequest) -> None:
         record, attempt = self._by_request.pop(entry.work.request)
         record.wait = self.now - record.call.at
         record.runs += 1
@@ -383,7 +383,7 @@
     def _end(
         self,
         server: Server,
-        entry: queueing.Entry,
+        entry: queueing.QueuedRequest,
         record: Record,
         attempt: int,
         seconds: float,
@@ -393,7 +393,7 @@
         server.in_use -= 1
         del server.running[entry.work.request]
         server.busy_seconds += seconds
-        self.queues.end(entry.work.request, self.now, not failed)
+        self.queues.finish(entry.work.request, self.now, not failed)
         call = record.call
         self._received[entry.work.account] += call.cost - entry.cost_estimate
         if self.mechanisms.ejection:
@@ -410,7 +410,11 @@
             record.answered_at, record.code = self.now, "answered"
 
     def _failed(
-        self, server: Server, entry: queueing.Entry, record: Record, attempt: int
+        self,
+        server: Server,
+        entry: queueing.QueuedRequest,
+        record: Record,
+        attempt: int,
     ) -> None:
         work = entry.work
         verdict = self.retries.decide(
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -50,8 +50,8 @@
     def __init__(self, owner: world.World, charge: str = "slots") -> None:
         self._world = owner
         self._charge = charge
-        self._estimator = sharing.Estimator()
-        self._slot_charge = charges.Charge()
+        self._estimator = sharing.CostEstimator()
+        self._slot_charge = charges.SlotCharge()
         self._queues: dict[Key, collections.deque[world.Job]] = {}
         self._running: dict[Key, dict[world.Job, float]] = {}
         self._settled: dict[Key, float] = {}
@@ -85,7 +85,7 @@
         if job.done:
             self._suspended[key] -= job.done
         estimate = self._estimator.estimate(*key, request.hint, TYPICAL_COST)
-        self._slot_charge.expect(service, estimate)
+        self._slot_charge.record_estimate(service, estimate)
         self._running.setdefault(key, {})[job] = estimate
         return job
 
@@ -94,8 +94,8 @@
         self._running[job.key].pop(job)
         cost = job.request.cost
         self._settled[job.key] = self._settled.get(job.key, 0.0) + cost
-        self._estimator.settle(*job.key, cost)
-        self._slot_charge.settle(job.key[0], cost)
+        self._estimator.record_cost(*job.key, cost)
+        self._slot_charge.record_cost(job.key[0], cost)
 
     def put_back(self, job: world.Job) -> None:
         """Queue a request again whose stream was cancelled, before all others."""
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -51,7 +51,7 @@
         self.admission = admission.Admission(self.queues)
         self.counters = sharing.Counters(self.router, costs.INCARNATION, lambda _: 1.0)
         self.ledger = grants.Ledger(self.router, costs.INCARNATION, self.counters)
-        self.exchange = exchange.Exchange(exchange.Units())
+        self.exchange = exchange.CounterReporter(exchange.ThresholdRule())
         self.sequence = 0
         self.told: dict[sharing.Key, set[ids.RouterId]] = {}
 
@@ -165,7 +165,7 @@
             self._send(demand, functools.partial(self._report, home, node))
 
     def _report(self, home: Node, node: Node, demand: messages.Demand) -> None:
-        self._decide(home.ledger.report, node.router, demand, self.now)
+        self._decide(home.ledger.update_demand, node.router, demand, self.now)
         self._issue(home)
 
     def _issue(self, home: Node) -> None:
@@ -188,24 +188,29 @@
             return
         used = messages.GrantUsed(*name, MEAN_COST)
         self._send(
-            used, lambda one: self._decide(home.ledger.used, node.router, one, self.now)
+            used,
+            lambda one: self._decide(home.ledger.mark_used, node.router, one, self.now),
         )
         finish = functools.partial(self._finish, node, home, grant, entry, ended)
         self.at(self.now + cost * sizing.TOKEN_SECONDS, finish)
 
     def _finish(self, node: Node, home: Node, grant, entry, ended) -> None:
         self.answered += 1
-        self._decide(node.queues.end, entry.work.request, self.now)
-        self._decide(node.counters.give, grant.service, grant.account, ended.cost)
+        self._decide(node.queues.finish, entry.work.request, self.now)
+        self._decide(
+            node.counters.record_service, grant.service, grant.account, ended.cost
+        )
         self._send(ended, functools.partial(self._ended, home, node))
 
     def _ended(self, home: Node, node: Node, ended: messages.GrantEnded) -> None:
-        self._decide(home.ledger.ended, node.router, ended, self.now)
+        self._decide(home.ledger.end_grant, node.router, ended, self.now)
         self._issue(home)
 
     def _tell_counters(self) -> None:
         for node in self.nodes:
-            own = {(one.service, one.account): one for one in node.counters.own()}
+            own = {
+                (one.service, one.account): one for one in node.counters.own_counters()
+            }
             units = {key: one.units for key, one in own.items()}
             due = self._decide(node.exchange.find_due, units, None, self.now)
             for key in due:
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -30,7 +30,7 @@
 HOME_SERVICES = MODELS * (1.0 - (1.0 - 1.0 / MODELS) ** (SERVERS / NODES))
 """Expected number of models of which a node is a home."""
 
-REPORTS = TOKENS / exchange.BOUND_UNITS
+REPORTS = TOKENS / exchange.MAX_UNREPORTED_UNITS
 """Counters of a node that pass the bound each second."""
 
 WAITING = 500
--- a/celeryspan/decisions/admission.py
+++ b/celeryspan/decisions/admission.py
@@ -38,7 +38,7 @@
 UNKNOWN_RETRY_SECONDS = 2.0
 """`Retry-After` as long as no drain rate has been measured."""
 
-JITTER_SHARE = 0.25
+JITTER_FRACTION = 0.25
 """Width of the random part of `Retry-After`, as a share of it."""
 
 
@@ -99,14 +99,14 @@
         Requests of the account with the most waiting bytes that gave way.
     """
 
-    entry: queueing.Entry
+    entry: queueing.QueuedRequest
     shed: tuple[Refused, ...] = ()
 
 
-Verdict = Admitted | Refused
+AdmissionResult = Admitted | Refused
 
 
-class Bounds(msgspec.Struct, frozen=True):
+class AdmissionLimits(msgspec.Struct, frozen=True):
     """How much may wait at one router."""
 
     waiting: int = MAX_WAITING
@@ -121,14 +121,16 @@
     ----------
     queues : Queues
         Where admitted requests wait.
-    bounds : Bounds
+    limits : AdmissionLimits
         How much may wait.
     """
 
-    def __init__(self, queues: queueing.Queues, bounds: Bounds | None = None) -> None:
+    def __init__(
+        self, queues: queueing.Queues, limits: AdmissionLimits | None = None
+    ) -> None:
         self._queues = queues
-        self._bounds = bounds or Bounds()
-        self._promised: dict[tuple[ids.ServiceId, ids.AccountId], float] = {}
+        self._limits = limits or AdmissionLimits()
+        self._next_retry_at: dict[tuple[ids.ServiceId, ids.AccountId], float] = {}
 
     def admit(
         self,
@@ -137,7 +139,7 @@
         estimate: float,
         now: float,
         jitter: float,
-    ) -> Verdict:
+    ) -> AdmissionResult:
         """Let a request in or refuse it.
 
         Parameters
@@ -151,10 +153,10 @@
         jitter : float
             Random number from 0 to 1, for the `Retry-After` of a refusal.
         """
-        reason = self._find_reason(work, size, estimate, now)
+        reason = self._find_refusal_reason(work, size, estimate, now)
         if reason is not None:
             return self.refuse(work, reason, now, jitter)
-        shed = self._make_room(work, size, now, jitter)
+        shed = self._shed_until_fits(work, size, now, jitter)
         if shed is None:
             return self.refuse(work, Reason.MEMORY_FULL, now, jitter)
         return Admitted(self._queues.add(work, size, estimate, now), shed)
@@ -175,35 +177,35 @@
             opening = now + 1.0 / rate
             if reason is not Reason.QUEUE_FULL:
                 opening = now + self._queues.waiting(*key) / rate
-            place = max(opening, self._promised.get(key, now) + 1.0 / rate)
+            place = max(opening, self._next_retry_at.get(key, now) + 1.0 / rate)
             place = min(place, now + MAX_RETRY_SECONDS)
-            self._promised[key] = place
+            self._next_retry_at[key] = place
             seconds = place - now
-        seconds = max(MIN_RETRY_SECONDS, seconds) * (1.0 + JITTER_SHARE * jitter)
+        seconds = max(MIN_RETRY_SECONDS, seconds) * (1.0 + JITTER_FRACTION * jitter)
         return Refused(work.request, reason, seconds)
 
-    def _find_reason(
+    def _find_refusal_reason(
         self, work: dispatch.Work, size: int, estimate: float, now: float
     ) -> Reason | None:
         if work.deadline <= now:
             return Reason.EXPIRED
         waiting = self._queues.waiting(work.service, work.account)
         held = self._queues.account_bytes(work.account)
-        if waiting >= self._bounds.waiting or held + size > self._bounds.account_bytes:
+        if waiting >= self._limits.waiting or held + size > self._limits.account_bytes:
             return Reason.QUEUE_FULL
         rate = self._queues.drain_rate(work.service, work.account, now)
-        limit = self._queues.wait_limit(work, estimate, now)
+        limit = self._queues.max_wait(work, estimate, now)
         if rate is not None and waiting > rate * limit:
             return Reason.DEADLINE_UNREACHABLE
         return None
 
-    def _make_room(
+    def _shed_until_fits(
         self, work: dispatch.Work, size: int, now: float, jitter: float
     ) -> tuple[Refused, ...] | None:
         """Shed from the account with the most waiting bytes until a request fits."""
         shed: list[Refused] = []
         mine = self._queues.account_bytes(work.account) + size
-        while self._queues.total_bytes + size > self._bounds.total_bytes:
+        while self._queues.total_bytes + size > self._limits.total_bytes:
             largest = self._queues.largest_account()
             if largest is None or self._queues.account_bytes(largest) <= mine:
                 return tuple(shed) if shed and self._fits(size) else None
@@ -213,4 +215,4 @@
         return tuple(shed)
 
     def _fits(self, size: int) -> bool:
-        return self._queues.total_bytes + size <= self._bounds.total_bytes
+        return self._queues.total_bytes + size <= self._limits.total_bytes
--- a/celeryspan/decisions/charges.py
+++ b/celeryspan/decisions/charges.py
@@ -22,48 +22,48 @@
 
 # The mean cost of a service is learned over about so many requests, so that one of ten
 # times the mean moves it by a fiftieth. The first few may be estimates.
-MEAN_REQUESTS = 500
-PRIOR_REQUESTS = 10
+MEAN_COST_REQUESTS = 500
+MAX_ESTIMATES = 10
 
 # The greatest cost is taken as known after so many requests. From the first few it
 # would be far too small, and accounts would be forgiven what they are owed by chance.
-GREATEST_REQUESTS = 200
+MIN_REQUESTS_FOR_MAX_COST = 200
 
 
-class Charge:
+class SlotCharge:
     """Learns the charge for a slot of each service, and the greatest cost seen."""
 
     def __init__(self) -> None:
         self._means: dict[ids.ServiceId, float] = {}
         self._counts: dict[ids.ServiceId, int] = {}
-        self._greatest: dict[ids.ServiceId, float] = {}
+        self._max_costs: dict[ids.ServiceId, float] = {}
 
-    def expect(self, service: ids.ServiceId, cost: float) -> None:
+    def record_estimate(self, service: ids.ServiceId, cost: float) -> None:
         """Learn from an estimate, in cost units, until enough are known.
 
         The mean of several is taken: the hint of one request alone may be a tenth of
         the mean cost, and the first slots would hardly count.
         """
-        if self._counts.get(service, 0) < PRIOR_REQUESTS and cost > 0.0:
-            self._learn(service, cost)
+        if self._counts.get(service, 0) < MAX_ESTIMATES and cost > 0.0:
+            self._update_mean(service, cost)
 
-    def settle(self, service: ids.ServiceId, cost: float) -> None:
+    def record_cost(self, service: ids.ServiceId, cost: float) -> None:
         """Learn from the true cost of a request that ended, in cost units."""
-        self._learn(service, cost)
-        self._greatest[service] = max(cost, self._greatest.get(service, 0.0))
+        self._update_mean(service, cost)
+        self._max_costs[service] = max(cost, self._max_costs.get(service, 0.0))
 
     def per_slot(self, service: ids.ServiceId) -> float:
         """Return the charge for one slot in use, in cost units; 0 if none is known."""
         return SLOT_CHARGE * self._means.get(service, 0.0)
 
-    def greatest(self, service: ids.ServiceId) -> float:
+    def max_cost(self, service: ids.ServiceId) -> float:
         """Return the greatest cost settled, in cost units; 0 while it is not known."""
-        if self._counts.get(service, 0) < GREATEST_REQUESTS:
+        if self._counts.get(service, 0) < MIN_REQUESTS_FOR_MAX_COST:
             return 0.0
-        return self._greatest.get(service, 0.0)
+        return self._max_costs.get(service, 0.0)
 
-    def _learn(self, service: ids.ServiceId, cost: float) -> None:
-        count = min(self._counts.get(service, 0) + 1, MEAN_REQUESTS)
+    def _update_mean(self, service: ids.ServiceId, cost: float) -> None:
+        count = min(self._counts.get(service, 0) + 1, MEAN_COST_REQUESTS)
         mean = self._means.get(service, 0.0)
         self._counts[service] = count
         self._means[service] = mean + (cost - mean) / count
--- a/celeryspan/decisions/demand.py
+++ b/celeryspan/decisions/demand.py
@@ -22,10 +22,10 @@
 
 # A withdrawn demand is remembered for so long, so that an older report that is still
 # under way does not bring it back. No connection keeps a frame for this long.
-FORGET_SECONDS = 60.0
+WITHDRAWN_RETENTION_SECONDS = 60.0
 
 
-class Waiting(msgspec.Struct):
+class RouterDemand(msgspec.Struct):
     """The last report of a router for one service and account.
 
     Attributes
@@ -37,12 +37,12 @@
     """
 
     demand: messages.Demand
-    at: float
+    received_at: float
     waiting: int
     unused: int = 0
 
     @property
-    def count(self) -> int:
+    def ungranted(self) -> int:
         """Waiting requests beyond the grants that are under way."""
         return max(0, self.waiting - self.unused)
 
@@ -51,18 +51,18 @@
 
         Only the age of the oldest is reported; the others are taken as evenly spaced.
         """
-        whole = self.demand.oldest_age + now - self.at
-        return whole * self.count / max(1, self.demand.waiting)
+        whole = self.demand.oldest_age + now - self.received_at
+        return whole * self.ungranted / max(1, self.demand.waiting)
 
 
-class Demands:
+class DemandTable:
     """The newest report of each router, service and account."""
 
     def __init__(self) -> None:
-        self._reports: dict[sharing.Key, dict[ids.RouterId, Waiting]] = {}
+        self._reports: dict[sharing.Key, dict[ids.RouterId, RouterDemand]] = {}
         self._backlogged: dict[ids.ServiceId, dict[ids.AccountId, None]] = {}
 
-    def put(self, router: ids.RouterId, demand: messages.Demand, now: float) -> bool:
+    def update(self, router: ids.RouterId, demand: messages.Demand, now: float) -> bool:
         """Take in a report; return False if a newer one is known."""
         key = (demand.service, demand.account)
         routers = self._reports.setdefault(key, {})
@@ -70,39 +70,44 @@
         if old is not None and old.demand.sequence >= demand.sequence:
             return False
         unused = old.unused if old else 0
-        routers[router] = Waiting(demand, now, demand.waiting, unused)
+        routers[router] = RouterDemand(demand, now, demand.waiting, unused)
         self._update(key)
         return True
 
-    def drop_router(self, router: ids.RouterId) -> None:
+    def remove_router(self, router: ids.RouterId) -> None:
         """Forget what a router reported."""
         for key, routers in self._reports.items():
             if routers.pop(router, None) is not None:
                 self._update(key)
 
-    def forget_withdrawn(self, now: float) -> None:
+    def purge_withdrawn(self, now: float) -> None:
         """Drop what was withdrawn long ago, to bound the memory."""
         for key, routers in list(self._reports.items()):
             for router, item in list(routers.items()):
-                if not item.waiting and now - item.at > FORGET_SECONDS:
+                if (
+                    not item.waiting
+                    and now - item.received_at > WITHDRAWN_RETENTION_SECONDS
+                ):
                     del routers[router]
             if not routers:
                 del self._reports[key]
 
-    def count_unused(self, key: sharing.Key, router: ids.RouterId, change: int) -> None:
+    def adjust_unused(
+        self, key: sharing.Key, router: ids.RouterId, change: int
+    ) -> None:
         """Note that a grant is under way to a router, or no more."""
         item = self._reports.get(key, {}).get(router)
         if item is not None:
             item.unused = max(0, item.unused + change)
 
-    def count_sent(self, key: sharing.Key, router: ids.RouterId) -> None:
+    def record_sent(self, key: sharing.Key, router: ids.RouterId) -> None:
         """Note that a request has left the queue of a router."""
         item = self._reports.get(key, {}).get(router)
         if item is not None:
             item.waiting = max(0, item.waiting - 1)
             self._update(key)
 
-    def count_none(self, key: sharing.Key, router: ids.RouterId) -> None:
+    def clear_waiting(self, key: sharing.Key, router: ids.RouterId) -> None:
         """Note that a router returned a grant unused: nothing waits there.
 
         Guards against a grant that goes to and fro, with its slot idle, until the
@@ -113,9 +118,9 @@
             item.waiting = 0
             self._update(key)
 
-    def count(self, key: sharing.Key) -> int:
+    def count_ungranted(self, key: sharing.Key) -> int:
         """Return the waiting requests beyond the grants under way."""
-        return sum(item.count for item in self._reports.get(key, {}).values())
+        return sum(item.ungranted for item in self._reports.get(key, {}).values())
 
     def backlogged(self, service: ids.ServiceId) -> list[ids.AccountId]:
         """Return the accounts that have requests waiting."""
--- a/celeryspan/decisions/drain.py
+++ b/celeryspan/decisions/drain.py
@@ -14,13 +14,13 @@
 
 import math
 
-DRAIN_SECONDS = 10.0
+RATE_TIME_CONSTANT_SECONDS = 10.0
 """Memory of the drain rate: several lags of a load report, shorter than a deadline."""
 
-DRAIN_COUNT = 3.0
+MIN_DEPARTURES = 3.0
 """Departures needed before a drain rate is believed."""
 
-RUN_MEMORY = 0.98
+RUN_TIME_DECAY = 0.98
 """Weight kept by earlier runs at each end of a run: about fifty runs."""
 
 
@@ -30,56 +30,61 @@
     Idle time does not count, so that an account that asks rarely is not believed slow.
     """
 
-    __slots__ = ("_began", "_busy", "_departures", "_since")
+    __slots__ = ("_backlogged_at", "_busy_seconds", "_departures", "_updated_at")
 
     def __init__(self) -> None:
         self._departures = 0.0
-        self._busy = 0.0
-        self._began = 0.0
-        self._since: float | None = None
+        self._busy_seconds = 0.0
+        self._backlogged_at = 0.0
+        self._updated_at: float | None = None
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """Say that the queue has become backlogged."""
-        self._since = self._began = now
+        self._updated_at = self._backlogged_at = now
 
-    def depart(self, now: float, count: int = 1) -> None:
+    def record_departures(self, now: float, count: int = 1) -> None:
         """Count requests that were given a grant.
 
         One served in the moment of its arrival found a free slot and says nothing of
         the rate under load; counted, it would make the rate far too high.
         """
         self._advance(now)
-        if now > self._began:
+        if now > self._backlogged_at:
             self._departures += count
 
     def stop(self, now: float) -> None:
         """Say that the queue is empty."""
         self._advance(now)
-        self._since = None
+        self._updated_at = None
 
-    def read(self, now: float) -> float | None:
+    def estimate(self, now: float) -> float | None:
         """Return requests a second, or None as long as too few have left.
 
         At least one is counted: at a standstill the rate falls with time but never to
         zero, so that a queue is not refused for good.
         """
         self._advance(now)
-        known = self._departures >= DRAIN_COUNT or self._busy >= DRAIN_SECONDS / 2
-        if not known or self._busy <= 0.0:
+        known = (
+            self._departures >= MIN_DEPARTURES
+            or self._busy_seconds >= RATE_TIME_CONSTANT_SECONDS / 2
+        )
+        if not known or self._busy_seconds <= 0.0:
             return None
-        return max(1.0, self._departures) / self._busy
+        return max(1.0, self._departures) / self._busy_seconds
 
     def _advance(self, now: float) -> None:
-        if self._since is None or now <= self._since:
+        if self._updated_at is None or now <= self._updated_at:
             return
-        elapsed = now - self._since
-        kept = math.exp(-elapsed / DRAIN_SECONDS)
+        elapsed = now - self._updated_at
+        kept = math.exp(-elapsed / RATE_TIME_CONSTANT_SECONDS)
         self._departures *= kept
-        self._busy = self._busy * kept + DRAIN_SECONDS * (1.0 - kept)
-        self._since = now
+        self._busy_seconds = self._busy_seconds * kept + RATE_TIME_CONSTANT_SECONDS * (
+            1.0 - kept
+        )
+        self._updated_at = now
 
 
-class RunTime:
+class RunTimeEstimator:
     """Seconds that a cost unit takes in a service, learned from ended runs.
 
     The sums are divided, not the ratios averaged: a hint far too low would otherwise
@@ -92,11 +97,11 @@
         self._seconds = 0.0
         self._units = 0.0
 
-    def learn(self, seconds: float, estimate: float) -> None:
+    def record(self, seconds: float, cost: float) -> None:
         """Take in a run that ended with an answer."""
-        self._seconds = self._seconds * RUN_MEMORY + seconds
-        self._units = self._units * RUN_MEMORY + estimate
+        self._seconds = self._seconds * RUN_TIME_DECAY + seconds
+        self._units = self._units * RUN_TIME_DECAY + cost
 
-    def expect(self, estimate: float) -> float:
+    def estimate(self, cost: float) -> float:
         """Return the expected seconds of a run; 0 as long as none has ended."""
-        return estimate * self._seconds / self._units if self._units else 0.0
+        return cost * self._seconds / self._units if self._units else 0.0
--- a/celeryspan/decisions/exchange.py
+++ b/celeryspan/decisions/exchange.py
@@ -23,12 +23,12 @@
     from celeryspan.decisions import sharing
 
 # Seconds between two reports of one account under the fixed period.
-PERIOD_SECONDS = 0.5
+REPORT_PERIOD_SECONDS = 0.5
 
 # Unreported cost units of one account under the bound: half a mean request of a
 # language model. At 500 the gap grew by a fifth, at 2,000 it grew to 2.7 times, while
 # counters are a third of all control traffic at 200 already.
-BOUND_UNITS = 200.0
+MAX_UNREPORTED_UNITS = 200.0
 
 # Each account is told at least this often, so that a home that has lost its state or
 # a message learns what an idle account has received.
@@ -36,7 +36,7 @@
 
 
 # Seconds in which changes of a queue that is known to wait are put together.
-DEMAND_SECONDS = 0.1
+DEMAND_BATCH_SECONDS = 0.1
 
 # Seconds in which the first home may grant before all are told: two round trips
 # between data centres.
@@ -57,7 +57,7 @@
 class Rule(Protocol):
     """Decides which accounts are due."""
 
-    def is_due(self, unreported: float, age: float, colliding: bool) -> bool:
+    def is_due(self, unreported: float, age: float, contended: bool) -> bool:
         """Return whether an account must be told.
 
         Parameters
@@ -66,7 +66,7 @@
             Service since the last report, in cost units.
         age : float
             Seconds since the last report.
-        colliding : bool
+        contended : bool
             Whether the account is backlogged at a home, so that its service competes.
         """
 
@@ -85,37 +85,37 @@
 
 
 @register("period")
-class Period:
+class PeriodicRule:
     """Tell each account once per period, in seconds."""
 
-    def __init__(self, seconds: float = PERIOD_SECONDS) -> None:
+    def __init__(self, seconds: float = REPORT_PERIOD_SECONDS) -> None:
         self._seconds = seconds
 
-    def is_due(self, unreported: float, age: float, colliding: bool) -> bool:
+    def is_due(self, unreported: float, age: float, contended: bool) -> bool:
         """Return whether the period is over."""
         return unreported > 0.0 and age >= self._seconds
 
 
 @register("units")
-class Units:
-    """Tell an account when its colliding unreported service exceeds k cost units."""
+class ThresholdRule:
+    """Tell an account when its contended unreported service exceeds k cost units."""
 
-    def __init__(self, units: float = BOUND_UNITS) -> None:
+    def __init__(self, units: float = MAX_UNREPORTED_UNITS) -> None:
         self._units = units
 
-    def is_due(self, unreported: float, age: float, colliding: bool) -> bool:
+    def is_due(self, unreported: float, age: float, contended: bool) -> bool:
         """Return whether the bound is passed, or the refresh is due."""
-        if colliding and unreported > self._units:
+        if contended and unreported > self._units:
             return True
         return unreported > 0.0 and age >= REFRESH_SECONDS
 
 
-class Exchange:
+class CounterReporter:
     """Remembers what was told and finds what must be told next."""
 
     def __init__(self, rule: Rule) -> None:
         self._rule = rule
-        self._told: dict[sharing.Key, tuple[float, float]] = {}
+        self._reported: dict[sharing.Key, tuple[float, float]] = {}
 
     def find_due(
         self,
@@ -139,11 +139,11 @@
         """
         due = []
         for key, value in units.items():
-            old, when = self._told.get(key, (0.0, -math.inf))
-            collides = backlogged is None or key in backlogged
-            if self._rule.is_due(value - old, now - when, collides):
+            old, when = self._reported.get(key, (0.0, -math.inf))
+            is_contended = backlogged is None or key in backlogged
+            if self._rule.is_due(value - old, now - when, is_contended):
                 due.append(key)
-                self._told[key] = (value, now)
+                self._reported[key] = (value, now)
         return tuple(due)
 
     def forget(self, service: ids.ServiceId | None = None) -> None:
@@ -154,17 +154,17 @@
         service : ServiceId or None
             Only the accounts of one service, or of all.
         """
-        for key in list(self._told):
+        for key in list(self._reported):
             if service is None or key[0] == service:
-                del self._told[key]
+                del self._reported[key]
 
 
-class Demands:
+class DemandReporter:
     """Decides which homes must hear how much waits at this router, and when.
 
     What a home believes is followed here: the last report less the requests sent with
     its grants. A home is told at once when it believes that nothing waits and
-    something does, or the reverse; other changes wait for ``DEMAND_SECONDS``.
+    something does, or the reverse; other changes wait for ``DEMAND_BATCH_SECONDS``.
 
     A request that finds its account without a queue is told to one home only. If that
     one grants nothing within ``ESCALATE_SECONDS``, all homes hear (a sample of them in
@@ -173,45 +173,47 @@
     """
 
     def __init__(self) -> None:
-        self._beliefs: dict[sharing.Key, dict[ids.RouterId, int]] = {}
-        self._since: dict[sharing.Key, float] = {}
+        self._reported: dict[sharing.Key, dict[ids.RouterId, int]] = {}
+        self._waiting_since: dict[sharing.Key, float] = {}
 
     def find_stage(self, key: sharing.Key, waiting: int, now: float) -> Stage:
         """Return how widely the demand of an account is to be told now."""
         if not waiting:
-            self._since.pop(key, None)
+            self._waiting_since.pop(key, None)
             return Stage.NONE
-        since = self._since.setdefault(key, now)
+        since = self._waiting_since.setdefault(key, now)
         return Stage.ONE if now < since + ESCALATE_SECONDS else Stage.ALL
 
-    def find_attempt(self, key: sharing.Key, now: float) -> int:
+    def find_sample_number(self, key: sharing.Key, now: float) -> int:
         """Return the number of the sample; it grows while nothing is granted."""
-        return int((now - self._since.get(key, now)) / RESAMPLE_SECONDS)
+        return int((now - self._waiting_since.get(key, now)) / RESAMPLE_SECONDS)
 
     def is_urgent(self, key: sharing.Key, home: ids.RouterId, waiting: int) -> bool:
         """Return whether a home must hear at once."""
-        return (self.belief(key, home) > 0) != (waiting > 0)
+        return (self.reported_waiting(key, home) > 0) != (waiting > 0)
 
-    def belief(self, key: sharing.Key, home: ids.RouterId) -> int:
+    def reported_waiting(self, key: sharing.Key, home: ids.RouterId) -> int:
         """Return how many requests a home believes to wait here."""
-        return self._beliefs.get(key, {}).get(home, 0)
+        return self._reported.get(key, {}).get(home, 0)
 
-    def believers(self, key: sharing.Key) -> tuple[ids.RouterId, ...]:
+    def informed_homes(self, key: sharing.Key) -> tuple[ids.RouterId, ...]:
         """Return the homes that believe something waits here."""
-        beliefs = self._beliefs.get(key, {})
-        return tuple(home for home, count in beliefs.items() if count)
+        reported = self._reported.get(key, {})
+        return tuple(home for home, count in reported.items() if count)
 
-    def tell(self, key: sharing.Key, home: ids.RouterId, waiting: int) -> None:
+    def record_report(self, key: sharing.Key, home: ids.RouterId, waiting: int) -> None:
         """Note that a home was told."""
-        self._beliefs.setdefault(key, {})[home] = waiting
+        self._reported.setdefault(key, {})[home] = waiting
 
-    def use(self, key: sharing.Key, home: ids.RouterId, now: float) -> None:
+    def record_use(self, key: sharing.Key, home: ids.RouterId, now: float) -> None:
         """Note that a request was sent with a home's grant."""
-        self.tell(key, home, max(0, self.belief(key, home) - 1))
-        if key in self._since:
-            self._since[key] = max(self._since[key], now - ESCALATE_SECONDS)
+        self.record_report(key, home, max(0, self.reported_waiting(key, home) - 1))
+        if key in self._waiting_since:
+            self._waiting_since[key] = max(
+                self._waiting_since[key], now - ESCALATE_SECONDS
+            )
 
     def forget(self, home: ids.RouterId) -> None:
         """Forget what a home was told: it is new or gone."""
-        for beliefs in self._beliefs.values():
-            beliefs.pop(home, None)
+        for reported in self._reported.values():
+            reported.pop(home, None)
--- a/celeryspan/decisions/grants.py
+++ b/celeryspan/decisions/grants.py
@@ -43,7 +43,7 @@
 # waited elsewhere all along, and of their service one message after the other: lifting
 # by half of that moved accounts by all they had ever received (gap of 107,452 units
 # after one restart), and lifts cannot be taken back.
-LEARN_SECONDS = 1.0
+LIFT_WARMUP_SECONDS = 1.0
 
 # Greatest part of a home's slots of one service for one account while others wait.
 CAP_FRACTION = 0.5
@@ -52,10 +52,10 @@
 # two accounts differ by one to one and a half, so that it does not interfere; after one
 # the foremost waits for at most 50 s at today's sizes instead of 100 s at four. In the
 # replay the gap is the same within its noise for all bounds from 0.5 to none.
-OWED_COSTS = 2.0
+MAX_DEFICIT_COSTS = 2.0
 
 
-class Issued(msgspec.Struct, frozen=True):
+class IssuedGrant(msgspec.Struct, frozen=True):
     """A grant and the router that it must be sent to."""
 
     router: ids.RouterId
@@ -79,19 +79,19 @@
         incarnation: ids.Incarnation,
         counters: sharing.Counters,
         *,
-        owed_costs: float = OWED_COSTS,
+        max_deficit_costs: float = MAX_DEFICIT_COSTS,
         cap_fraction: float = CAP_FRACTION,
     ) -> None:
         self._counters = counters
-        self._owed_costs = owed_costs
+        self._owed_costs = max_deficit_costs
         self._cap_fraction = cap_fraction
         name = f"{router}/{incarnation}".encode()
         self._next_grant = xxhash.xxh32_intdigest(name) << 32
-        self._slots = slots.Slots()
-        self._demands = demands.Demands()
-        self._charge = charges.Charge()
-        self._floors: dict[ids.ServiceId, float] = {}
-        self._since: dict[ids.ServiceId, float] = {}
+        self._slots = slots.SlotTable()
+        self._demands = demands.DemandTable()
+        self._slot_charge = charges.SlotCharge()
+        self._lift_floors: dict[ids.ServiceId, float] = {}
+        self._serving_since: dict[ids.ServiceId, float] = {}
         self._lifts: list[messages.Lift] = []
         self._sequence = 0
 
@@ -112,41 +112,43 @@
             before each has sent ``SlotsHeld`` or ``RECOVERY_SECONDS`` have passed.
         """
         if service not in self._slots.services():
-            self._since[service] = now
-        self._slots.entries[server] = slots.Entry(
+            self._serving_since[service] = now
+        self._slots.servers[server] = slots.ServerSlots(
             service, window, set(awaited), now + RECOVERY_SECONDS
         )
 
     def set_window(self, server: ids.ServerId, window: int) -> None:
         """Change how many slots of a server may be in use; 0 grants nothing more."""
-        self._slots.entries[server].window = window
+        self._slots.servers[server].window = window
 
-    def drop_server(self, server: ids.ServerId) -> None:
+    def remove_server(self, server: ids.ServerId) -> None:
         """Stop being home; the next home learns from the routers what they hold."""
-        entry = self._slots.entries.get(server)
+        entry = self._slots.servers.get(server)
         if entry is None:
             return
         for held in list(entry.held):
-            self._free(entry, held)
-        del self._slots.entries[server]
+            self._release(entry, held)
+        del self._slots.servers[server]
 
     def servers(self) -> tuple[ids.ServerId, ...]:
         """Return the servers in this ledger."""
-        return tuple(self._slots.entries)
+        return tuple(self._slots.servers)
 
     def window(self, server: ids.ServerId) -> int:
         """Return how many slots of a server may be in use."""
-        return self._slots.entries[server].window
+        return self._slots.servers[server].window
 
     def in_use(self, server: ids.ServerId) -> int:
         """Return the slots of a server that are granted or used."""
-        return len(self._slots.entries[server].held)
+        return len(self._slots.servers[server].held)
 
     def backlogged(self) -> frozenset[sharing.Key]:
         """Return the (service, account) pairs that wait anywhere, as known here."""
         return self._demands.list_backlogged()
 
-    def report(self, router: ids.RouterId, demand: messages.Demand, now: float) -> None:
+    def update_demand(
+        self, router: ids.RouterId, demand: messages.Demand, now: float
+    ) -> None:
         """Take in what waits at a router; an older report than the last is ignored.
 
         Sequences are those of one incarnation: call :meth:`forget_router` before the
@@ -155,38 +157,44 @@
         key = (demand.service, demand.account)
         others = self._demands.backlogged(demand.service)
         is_new = not self._demands.is_backlogged(key)
-        if not self._demands.put(router, demand, now):
+        if not self._demands.update(router, demand, now):
             return
-        self._charge.expect(demand.service, demand.cost_estimate)
-        knows = now >= self._since.get(demand.service, now) + LEARN_SECONDS
-        if demand.waiting > 0 and is_new and knows:
+        self._slot_charge.record_estimate(demand.service, demand.cost_estimate)
+        is_warmed_up = (
+            now >= self._serving_since.get(demand.service, now) + LIFT_WARMUP_SECONDS
+        )
+        if demand.waiting > 0 and is_new and is_warmed_up:
             self._lift(key, others)
 
     def forget_router(self, router: ids.RouterId) -> None:
         """Free what a router held and waited for: it died, left or was cut off."""
-        self._demands.drop_router(router)
-        for entry in self._slots.entries.values():
+        self._demands.remove_router(router)
+        for entry in self._slots.servers.values():
             entry.awaited.discard(router)
             for held in [item for item in entry.held if item.router == router]:
-                self._free(entry, held)
+                self._release(entry, held)
 
-    def hold(self, router: ids.RouterId, held: messages.SlotsHeld, now: float) -> None:
+    def set_held(
+        self, router: ids.RouterId, held: messages.SlotsHeld, now: float
+    ) -> None:
         """Replace what is known of the slots that a router uses of one server.
 
         Grants that the router has not yet used stay as they are: its message may have
         left before they arrived.
         """
-        entry = self._slots.entries.get(held.server)
+        entry = self._slots.servers.get(held.server)
         if entry is None:
             return
         entry.awaited.discard(router)
         for item in list(entry.held):
             if item.router == router and item.is_used:
-                self._slots.free(entry, item)
+                self._slots.release(entry, item)
         for account, _ in held.grants:
-            self._slots.take(entry, slots.Held(None, router, account, math.inf))
+            self._slots.allocate(
+                entry, slots.AllocatedSlot(None, router, account, math.inf)
+            )
 
-    def used(
+    def mark_used(
         self, router: ids.RouterId, message: messages.GrantUsed, now: float
     ) -> None:
         """Note that a request was sent.
@@ -194,21 +202,21 @@
         A grant that is not known here was issued by the previous home of the server,
         or has expired: the slot is in use all the same, so it is counted.
         """
-        entry = self._slots.entries.get(message.server)
+        entry = self._slots.servers.get(message.server)
         if entry is None:
             return
         key = (entry.service, message.account)
         held = entry.find_grant(router, message.grant)
         if held is None:
-            held = slots.Held(message.grant, router, message.account, math.inf)
-            self._slots.take(entry, held)
-            self._demands.count_sent(key, router)
+            held = slots.AllocatedSlot(message.grant, router, message.account, math.inf)
+            self._slots.allocate(entry, held)
+            self._demands.record_sent(key, router)
         elif not held.is_used:
-            held.expires = math.inf
-            self._demands.count_unused(key, router, -1)
-            self._demands.count_sent(key, router)
+            held.expires_at = math.inf
+            self._demands.adjust_unused(key, router, -1)
+            self._demands.record_sent(key, router)
 
-    def ended(
+    def end_grant(
         self, router: ids.RouterId, message: messages.GrantEnded, now: float
     ) -> None:
         """Free a slot; a doubled message changes nothing.
@@ -217,72 +225,75 @@
         of these is freed for a grant that it does not know. A grant that comes back
         unused says that nothing waits; a router that knows better reports again.
         """
-        entry = self._slots.entries.get(message.server)
+        entry = self._slots.servers.get(message.server)
         if entry is None:
             return
-        held = entry.find_grant(router, message.grant) or entry.find_unnamed(
+        held = entry.find_grant(router, message.grant) or entry.find_without_grant(
             router, message.account
         )
         if held is None:
             return
         if message.cost > 0.0:
-            self._charge.settle(entry.service, message.cost)
+            self._slot_charge.record_cost(entry.service, message.cost)
         if not held.is_used:
             entry.returned_at = now
-            self._demands.count_none((entry.service, held.account), router)
-        self._free(entry, held)
+            self._demands.clear_waiting((entry.service, held.account), router)
+        self._release(entry, held)
 
     def expire(self, now: float) -> tuple[ids.GrantId, ...]:
         """Free the slots of grants that were not used in time; return the grants."""
         expired = []
-        for entry in self._slots.entries.values():
-            for held in [item for item in entry.held if item.expires <= now]:
-                self._free(entry, held)
+        for entry in self._slots.servers.values():
+            for held in [item for item in entry.held if item.expires_at <= now]:
+                self._release(entry, held)
                 if held.grant is not None:
                     expired.append(held.grant)
-        self._demands.forget_withdrawn(now)
+        self._demands.purge_withdrawn(now)
         return tuple(expired)
 
-    def issue(self, now: float) -> list[Issued]:
+    def issue(self, now: float) -> list[IssuedGrant]:
         """Grant the free slots to whoever is served next."""
         issued = []
         # Most calls find every slot taken: the few servers are looked at first, the
         # many accounts only for what has a free slot.
-        for service in self._slots.open_services(now):
+        for service in self._slots.services_with_free_slots(now):
             issued += self._issue_service(service, now)
         return issued
 
-    def take_lifts(self) -> list[messages.Lift]:
+    def pop_lifts(self) -> list[messages.Lift]:
         """Return the lifts decided since the last call, to be told to other homes."""
         lifts, self._lifts = self._lifts, []
         return lifts
 
-    def take_pending(self) -> list[messages.Pending]:
+    def pop_pending(self) -> list[messages.Pending]:
         """Return the slots held where they changed since the last call."""
-        return self._make_pending(self._slots.take_changed())
+        return self._make_pending(self._slots.pop_changed())
 
     def list_pending(self) -> list[messages.Pending]:
         """Return all slots held: for a home that is new or has lost its state."""
-        return self._make_pending(self._slots.list_held())
+        return self._make_pending(self._slots.list_holders())
 
     def held(self, service: ids.ServiceId, account: ids.AccountId) -> int:
         """Return the slots that an account holds under this ledger's grants."""
-        return self._slots.count(service, account)
+        return self._slots.count_held(service, account)
 
-    def _issue_service(self, service: ids.ServiceId, now: float) -> list[Issued]:
+    def _issue_service(self, service: ids.ServiceId, now: float) -> list[IssuedGrant]:
         waiting = [
             account
             for account in self._demands.backlogged(service)
-            if self._demands.count((service, account))
+            if self._demands.count_ungranted((service, account))
         ]
-        issued: list[Issued] = []
+        issued: list[IssuedGrant] = []
         server = self._slots.pick_server(service, now) if waiting else None
-        if server is not None and now >= self._since[service] + LEARN_SECONDS:
-            self._forgive(service)
+        if (
+            server is not None
+            and now >= self._serving_since[service] + LIFT_WARMUP_SECONDS
+        ):
+            self._limit_deficits(service)
         while waiting and server is not None:
             account = self._pick_account(service, waiting)
             issued.append(self._grant(server, service, account, now))
-            if not self._demands.count((service, account)):
+            if not self._demands.count_ungranted((service, account)):
                 waiting.remove(account)
             server = self._slots.pick_server(service, now)
         return issued
@@ -293,26 +304,26 @@
         service: ids.ServiceId,
         account: ids.AccountId,
         now: float,
-    ) -> Issued:
+    ) -> IssuedGrant:
         key = (service, account)
         router = self._demands.pick_router(key, now)
         level = self._counters.level(service, account)
-        self._floors[service] = max(level, self._floors.get(service, 0.0))
+        self._lift_floors[service] = max(level, self._lift_floors.get(service, 0.0))
         self._next_grant += 1
         grant = ids.GrantId(self._next_grant)
         expires = now + VALID_SECONDS + GRACE_SECONDS
-        held = slots.Held(grant, router, account, expires)
-        self._slots.take(self._slots.entries[server], held)
-        self._demands.count_unused(key, router, 1)
+        held = slots.AllocatedSlot(grant, router, account, expires)
+        self._slots.allocate(self._slots.servers[server], held)
+        self._demands.adjust_unused(key, router, 1)
         message = messages.Grant(grant, server, service, account, VALID_SECONDS)
-        return Issued(router, message)
+        return IssuedGrant(router, message)
 
     def _pick_account(
         self, service: ids.ServiceId, waiting: list[ids.AccountId]
     ) -> ids.AccountId:
         accounts = waiting
         if len(accounts) > 1:
-            window = self._slots.windows(service)
+            window = self._slots.total_window(service)
             cap = max(1, math.ceil(window * self._cap_fraction))
             below = [item for item in accounts if self.held(service, item) < cap]
             accounts = below or accounts
@@ -323,7 +334,9 @@
         return self._counters.standing(service, account, charged)
 
     def _charge_slots(self, service: ids.ServiceId, account: ids.AccountId) -> float:
-        return self._charge.per_slot(service) * self._slots.count(service, account)
+        return self._slot_charge.per_slot(service) * self._slots.count_held(
+            service, account
+        )
 
     def _make_pending(self, keys: list[sharing.Key]) -> list[messages.Pending]:
         self._sequence += 1
@@ -333,19 +346,19 @@
         ]
 
     def _lift(self, key: sharing.Key, others: list[ids.AccountId]) -> None:
-        floor = self._floors.get(key[0], 0.0)
+        floor = self._lift_floors.get(key[0], 0.0)
         lift = self._counters.lift(*key, others, floor)
         if lift is not None:
             self._lifts.append(lift)
 
-    def _forgive(self, service: ids.ServiceId) -> None:
-        greatest = self._charge.greatest(service)
+    def _limit_deficits(self, service: ids.ServiceId) -> None:
+        greatest = self._slot_charge.max_cost(service)
         if greatest:
             owed = self._owed_costs * greatest
             backlogged = self._demands.backlogged(service)
-            self._lifts += self._counters.forgive(service, backlogged, owed)
+            self._lifts += self._counters.limit_deficits(service, backlogged, owed)
 
-    def _free(self, entry: slots.Entry, held: slots.Held) -> None:
-        self._slots.free(entry, held)
+    def _release(self, entry: slots.ServerSlots, held: slots.AllocatedSlot) -> None:
+        self._slots.release(entry, held)
         if not held.is_used:
-            self._demands.count_unused((entry.service, held.account), held.router, -1)
+            self._demands.adjust_unused((entry.service, held.account), held.router, -1)
--- a/celeryspan/decisions/queueing.py
+++ b/celeryspan/decisions/queueing.py
@@ -26,22 +26,22 @@
 from celeryspan.decisions import drain
 from celeryspan.wire import messages
 
-PASS_LIMIT = 16
+MAX_OVERTAKES = 16
 """Times that younger requests may be served before an older one of the account."""
 
-SCAN_LIMIT = 32
+MAX_CANDIDATES = 32
 """Requests at the head of a queue that compete for a grant; bounds time per pick."""
 
-LONG_FACTOR = 4.0
+LONG_COST_FACTOR = 4.0
 """A request is long if its estimate exceeds the account's mean by this factor."""
 
-LONG_SHARE = 0.5
+MAX_LONG_SLOT_SHARE = 0.5
 """Share of an account's slots that long requests may hold while short ones wait."""
 
-MEAN_SHARE = 0.05
+MEAN_COST_SMOOTHING = 0.05
 """Weight of a new request in the account's mean estimate: the last twenty count."""
 
-RUN_SHARE = 1.0
+RUN_TIME_FACTOR = 1.0
 """Share of the expected run time without which a request is not started. Measured from
 0.5 to 1.5 with hints off by three: below 1 slots are spent on late answers, above 1
 accounts within their share are refused what could be done."""
@@ -50,11 +50,11 @@
 """Share of its time that a request may wait whatever its hint says: a hint far too high
 must not refuse a request for which a slot is about to be free."""
 
-Fit = Callable[[dispatch.Work], float]
+Affinity = Callable[[dispatch.Work], float]
 """Cost units saved if a request ran on the granted server rather than elsewhere."""
 
 
-class Entry(msgspec.Struct):
+class QueuedRequest(msgspec.Struct):
     """A request that waits or holds a grant.
 
     Attributes
@@ -67,7 +67,7 @@
         Time of admission, in seconds.
     start_by : float
         Time after which the answer would come too late.
-    passes : int
+    overtaken_count : int
         How often a younger request of the account was served before it.
     picked_at : float or None
         Time at which it was given a grant.
@@ -78,28 +78,35 @@
     cost_estimate: float
     enqueued_at: float
     start_by: float
-    passes: int = 0
+    overtaken_count: int = 0
     picked_at: float | None = None
 
 
 class AccountQueue:
     """Requests of one client account for one service, at this router."""
 
-    __slots__ = ("cost", "drain", "entries", "long_running", "mean_cost", "running")
+    __slots__ = (
+        "cost",
+        "drain_rate",
+        "entries",
+        "long_running",
+        "mean_cost",
+        "running",
+    )
 
     def __init__(self) -> None:
-        self.entries: collections.OrderedDict[ids.RequestId, Entry] = (
+        self.entries: collections.OrderedDict[ids.RequestId, QueuedRequest] = (
             collections.OrderedDict()
         )
-        self.drain = drain.DrainRate()
+        self.drain_rate = drain.DrainRate()
         self.cost = 0.0
         self.mean_cost = 0.0
         self.running = 0
         self.long_running = 0
 
-    def is_long(self, entry: Entry) -> bool:
+    def is_long(self, entry: QueuedRequest) -> bool:
         """Tell whether a request is long for this account."""
-        return entry.cost_estimate > LONG_FACTOR * self.mean_cost
+        return entry.cost_estimate > LONG_COST_FACTOR * self.mean_cost
 
 
 class Queues:
@@ -107,20 +114,22 @@
 
     def __init__(self) -> None:
         self._queues: dict[tuple[ids.ServiceId, ids.AccountId], AccountQueue] = {}
-        self._waiting: dict[ids.RequestId, Entry] = {}
-        self._running: dict[ids.RequestId, tuple[Entry, bool]] = {}
+        self._waiting: dict[ids.RequestId, QueuedRequest] = {}
+        self._running: dict[ids.RequestId, tuple[QueuedRequest, bool]] = {}
         self._deadlines: list[tuple[float, ids.RequestId]] = []
         self._bytes: dict[ids.AccountId, int] = {}
-        self._run_times: dict[ids.ServiceId, drain.RunTime] = {}
+        self._run_times: dict[ids.ServiceId, drain.RunTimeEstimator] = {}
         self.total_bytes = 0
 
-    def add(self, work: dispatch.Work, size: int, estimate: float, now: float) -> Entry:
+    def add(
+        self, work: dispatch.Work, size: int, estimate: float, now: float
+    ) -> QueuedRequest:
         """Append a request that admission has let in."""
-        start_by = now + self.wait_limit(work, estimate, now)
-        entry = Entry(work, size, estimate, now, start_by)
-        queue = self._find(work)
+        start_by = now + self.max_wait(work, estimate, now)
+        entry = QueuedRequest(work, size, estimate, now, start_by)
+        queue = self._get_queue(work)
         self._insert(queue, entry, now)
-        share = MEAN_SHARE if queue.mean_cost else 1.0
+        share = MEAN_COST_SMOOTHING if queue.mean_cost else 1.0
         queue.mean_cost += (estimate - queue.mean_cost) * share
         return entry
 
@@ -130,11 +139,11 @@
         account: ids.AccountId,
         server: ids.ServerId,
         now: float,
-        fit: Fit | None = None,
-    ) -> Entry | None:
+        affinity: Affinity | None = None,
+    ) -> QueuedRequest | None:
         """Take the request that fits a granted server best.
 
-        A request is served at most ``PASS_LIMIT`` picks later than in order of arrival.
+        A request is overtaken at most ``MAX_OVERTAKES`` times.
         Returns None if no waiting request may go to this server.
         """
         queue = self._queues.get((service, account))
@@ -143,15 +152,15 @@
         candidates = list(self._candidates(queue, server, now))
         if not candidates:
             return None
-        chosen = self._choose(queue, candidates, fit)
+        chosen = self._choose(queue, candidates, affinity)
         for entry in candidates:
             if entry is chosen:
                 break
-            entry.passes += 1
+            entry.overtaken_count += 1
         self._start(queue, chosen, now)
         return chosen
 
-    def relax(
+    def clear_exclusion(
         self, service: ids.ServiceId, account: ids.AccountId, server: ids.ServerId
     ) -> None:
         """Let the waiting requests of an account go to a server that failed them.
@@ -164,40 +173,42 @@
             left = entry.work.excluded - {server}
             entry.work = msgspec.structs.replace(entry.work, excluded=left)
 
-    def restore(self, request: ids.RequestId, now: float) -> None:
+    def requeue(self, request: ids.RequestId, now: float) -> None:
         """Put a picked request back in front: its grant ended before it was sent."""
         entry, was_long = self._running.pop(request)
-        queue = self._find(entry.work)
+        queue = self._get_queue(entry.work)
         queue.running -= 1
         queue.long_running -= was_long
-        queue.drain.depart(now, -1)
+        queue.drain_rate.record_departures(now, -1)
         entry.picked_at = None
-        entry.passes = PASS_LIMIT
+        entry.overtaken_count = MAX_OVERTAKES
         self._insert(queue, entry, now)
         queue.entries.move_to_end(request, last=False)
 
-    def end(self, request: ids.RequestId, now: float, answered: bool = True) -> None:
+    def finish(self, request: ids.RequestId, now: float, answered: bool = True) -> None:
         """Forget a picked request: it has its answer or its error."""
         found = self._running.pop(request, None)
         if found is None:
             return
         entry, was_long = found
         if answered and entry.picked_at is not None:
-            run_time = self._run_times.setdefault(entry.work.service, drain.RunTime())
-            run_time.learn(now - entry.picked_at, entry.cost_estimate)
-        queue = self._find(entry.work)
+            run_time = self._run_times.setdefault(
+                entry.work.service, drain.RunTimeEstimator()
+            )
+            run_time.record(now - entry.picked_at, entry.cost_estimate)
+        queue = self._get_queue(entry.work)
         queue.running -= 1
         queue.long_running -= was_long
-        self._drop_if_unused(entry.work)
+        self._discard_if_unused(entry.work)
 
-    def cancel(self, request: ids.RequestId, now: float) -> Entry | None:
+    def cancel(self, request: ids.RequestId, now: float) -> QueuedRequest | None:
         """Take out a waiting request whose caller has left."""
         entry = self._waiting.get(request)
         if entry is not None:
             self._remove(entry, now)
         return entry
 
-    def expire(self, now: float) -> list[Entry]:
+    def expire(self, now: float) -> list[QueuedRequest]:
         """Take out requests that can no longer be answered in time.
 
         Their callers are to be told at once; run, they would take slots for nothing.
@@ -211,7 +222,7 @@
                 expired.append(entry)
         return expired
 
-    def shed(self, account: ids.AccountId, now: float) -> Entry | None:
+    def shed(self, account: ids.AccountId, now: float) -> QueuedRequest | None:
         """Take out the youngest waiting request of an account."""
         found = [
             next(reversed(queue.entries.values()))
@@ -251,7 +262,9 @@
         """Return the queues in which something waits."""
         return [key for key, queue in self._queues.items() if queue.entries]
 
-    def oldest(self, service: ids.ServiceId, account: ids.AccountId) -> Entry | None:
+    def oldest(
+        self, service: ids.ServiceId, account: ids.AccountId
+    ) -> QueuedRequest | None:
         """Return the first request in line, for which a server may be asked first."""
         queue = self._queues.get((service, account))
         return next(iter(queue.entries.values()), None) if queue else None
@@ -266,17 +279,17 @@
     ) -> float | None:
         """Return requests a second that leave a queue, or None if not yet known."""
         queue = self._queues.get((service, account))
-        return queue.drain.read(now) if queue else None
+        return queue.drain_rate.estimate(now) if queue else None
 
-    def expect_run(self, service: ids.ServiceId, estimate: float) -> float:
+    def expected_run_time(self, service: ids.ServiceId, estimate: float) -> float:
         """Return the expected seconds from sending to the end of the answer."""
         run_time = self._run_times.get(service)
-        return run_time.expect(estimate) if run_time else 0.0
+        return run_time.estimate(estimate) if run_time else 0.0
 
-    def wait_limit(self, work: dispatch.Work, estimate: float, now: float) -> float:
+    def max_wait(self, work: dispatch.Work, estimate: float, now: float) -> float:
         """Return the seconds that a request may wait and still be answered in time."""
         left = work.deadline - now
-        run = RUN_SHARE * self.expect_run(work.service, estimate)
+        run = RUN_TIME_FACTOR * self.expected_run_time(work.service, estimate)
         return max(left - run, MIN_WAIT_SHARE * left)
 
     def account_bytes(self, account: ids.AccountId) -> int:
@@ -291,32 +304,35 @@
 
     def _candidates(
         self, queue: AccountQueue, server: ids.ServerId, now: float
-    ) -> Iterator[Entry]:
+    ) -> Iterator[QueuedRequest]:
         scanned = 0
         for entry in queue.entries.values():
             if entry.start_by <= now or server in entry.work.excluded:
                 continue
             yield entry
             scanned += 1
-            if scanned >= SCAN_LIMIT:
+            if scanned >= MAX_CANDIDATES:
                 return
 
     def _choose(
-        self, queue: AccountQueue, candidates: list[Entry], fit: Fit | None
-    ) -> Entry:
+        self,
+        queue: AccountQueue,
+        candidates: list[QueuedRequest],
+        affinity: Affinity | None,
+    ) -> QueuedRequest:
         for entry in candidates:
-            if entry.passes >= PASS_LIMIT:
+            if entry.overtaken_count >= MAX_OVERTAKES:
                 return entry
-        allowed = LONG_SHARE * (queue.running + 1)
+        allowed = MAX_LONG_SLOT_SHARE * (queue.running + 1)
         if queue.long_running + 1 > allowed:
             short = [entry for entry in candidates if not queue.is_long(entry)]
             candidates = short or candidates
-        if fit is None:
+        if affinity is None:
             return candidates[0]
-        return max(candidates, key=lambda entry: fit(entry.work))
+        return max(candidates, key=lambda entry: affinity(entry.work))
 
-    def _start(self, queue: AccountQueue, entry: Entry, now: float) -> None:
-        queue.drain.depart(now)
+    def _start(self, queue: AccountQueue, entry: QueuedRequest, now: float) -> None:
+        queue.drain_rate.record_departures(now)
         self._remove(entry, now, keep=True)
         entry.picked_at = now
         was_long = queue.is_long(entry)
@@ -324,17 +340,17 @@
         queue.long_running += was_long
         self._running[entry.work.request] = (entry, was_long)
 
-    def _find(self, work: dispatch.Work) -> AccountQueue:
+    def _get_queue(self, work: dispatch.Work) -> AccountQueue:
         key = (work.service, work.account)
         queue = self._queues.get(key)
         if queue is None:
             queue = self._queues[key] = AccountQueue()
         return queue
 
-    def _insert(self, queue: AccountQueue, entry: Entry, now: float) -> None:
+    def _insert(self, queue: AccountQueue, entry: QueuedRequest, now: float) -> None:
         work = entry.work
         if not queue.entries:
-            queue.drain.begin(now)
+            queue.drain_rate.start(now)
         queue.entries[work.request] = entry
         queue.cost += entry.cost_estimate
         self._waiting[work.request] = entry
@@ -342,25 +358,29 @@
         self.total_bytes += entry.size
         heapq.heappush(self._deadlines, (entry.start_by, work.request))
 
-    def _remove(self, entry: Entry, now: float, keep: bool = False) -> None:
+    def _remove(self, entry: QueuedRequest, now: float, keep: bool = False) -> None:
         work = entry.work
-        queue = self._find(work)
+        queue = self._get_queue(work)
         del queue.entries[work.request]
         del self._waiting[work.request]
         queue.cost -= entry.cost_estimate
         if not queue.entries:
             queue.cost = 0.0
-            queue.drain.stop(now)
+            queue.drain_rate.stop(now)
         self.total_bytes -= entry.size
         self._bytes[work.account] -= entry.size
         if not self._bytes[work.account]:
             del self._bytes[work.account]
         if not keep:
-            self._drop_if_unused(work)
+            self._discard_if_unused(work)
 
-    def _drop_if_unused(self, work: dispatch.Work) -> None:
+    def _discard_if_unused(self, work: dispatch.Work) -> None:
         """Keep a queue's measured rate; only queues that never served are dropped."""
         key = (work.service, work.account)
         queue = self._queues[key]
-        if not queue.entries and not queue.running and queue.drain.read(0.0) is None:
+        if (
+            not queue.entries
+            and not queue.running
+            and queue.drain_rate.estimate(0.0) is None
+        ):
             del self._queues[key]
--- a/celeryspan/decisions/sharing.py
+++ b/celeryspan/decisions/sharing.py
@@ -64,7 +64,7 @@
     ----------
     router, incarnation
         Whose own service :meth:`give` counts.
-    weigh : callable
+    weight_of : callable
         Returns the weight of a client account.
     """
 
@@ -72,10 +72,10 @@
         self,
         router: ids.RouterId,
         incarnation: ids.Incarnation,
-        weigh: Callable[[ids.AccountId], float],
+        weight_of: Callable[[ids.AccountId], float],
     ) -> None:
         self._own: Source = (router, incarnation)
-        self._weigh = weigh
+        self._weight_of = weight_of
         self._units: dict[Source, dict[Key, float]] = {self._own: {}}
         self._folded: dict[Key, float] = {}
         self._gone: dict[ids.RouterId, ids.Incarnation] = {}
@@ -84,15 +84,15 @@
         self._pending: dict[ids.RouterId, dict[Key, Pending]] = {}
         self._pending_totals: dict[Key, float] = {}
 
-    def give(
+    def record_service(
         self, service: ids.ServiceId, account: ids.AccountId, units: float
     ) -> None:
         """Count service that streamed through this router, in cost units."""
-        self._raise(self._own, (service, account), units, add=True)
+        self._increase(self._own, (service, account), units, add=True)
 
-    def own(self) -> tuple[messages.Counter, ...]:
+    def own_counters(self) -> tuple[messages.Counter, ...]:
         """Return the counters of this incarnation."""
-        return tuple(self._list(self._own))
+        return tuple(self._iter_counters(self._own))
 
     def own_units(self, service: ids.ServiceId, account: ids.AccountId) -> float:
         """Return what streamed through this incarnation, in cost units."""
@@ -101,10 +101,10 @@
     def merge(self, counter: messages.Counter) -> bool:
         """Take in a counter of any router; return whether it told something new."""
         source = (counter.router, counter.incarnation)
-        if source == self._own or self._is_gone(source):
+        if source == self._own or self._is_folded(source):
             return False
         key = (counter.service, counter.account)
-        return self._raise(source, key, counter.units, add=False)
+        return self._increase(source, key, counter.units, add=False)
 
     def merge_lift(self, lift: Lift) -> bool:
         """Take in a lift that another home decided."""
@@ -143,7 +143,7 @@
         """Return service received and lift, in cost units per weight."""
         key = (service, account)
         units = self._totals.get(key, 0.0)
-        return units / self._weigh(account) + self._lifts.get(key, 0.0)
+        return units / self._weight_of(account) + self._lifts.get(key, 0.0)
 
     def standing(
         self,
@@ -159,7 +159,7 @@
             Charge for the slots under the caller's own grants, in cost units.
         """
         pending = self._pending_totals.get((service, account), 0.0) + in_progress
-        return self.level(service, account) + pending / self._weigh(account)
+        return self.level(service, account) + pending / self._weight_of(account)
 
     def lift(
         self,
@@ -180,9 +180,9 @@
             was served, in cost units per weight.
         """
         levels = [self.level(service, other) for other in backlogged]
-        return self._lift_to(service, account, min(levels, default=floor))
+        return self._raise_level(service, account, min(levels, default=floor))
 
-    def forgive(
+    def limit_deficits(
         self, service: ids.ServiceId, backlogged: Iterable[ids.AccountId], owed: float
     ) -> list[Lift]:
         """Bound what is owed: lift who is more than ``owed`` behind the foremost.
@@ -201,7 +201,7 @@
         if len(accounts) < 2 or math.isinf(owed):
             return []
         floor = max(self.level(service, account) for account in accounts) - owed
-        lifts = (self._lift_to(service, account, floor) for account in accounts)
+        lifts = (self._raise_level(service, account, floor) for account in accounts)
         return [lift for lift in lifts if lift is not None]
 
     def fold(self, router: ids.RouterId, incarnation: ids.Incarnation) -> None:
@@ -211,22 +211,24 @@
         for each account behind. Messages of the folded incarnation are ignored from
         then on, so nothing is counted twice.
         """
-        if self._is_gone((router, incarnation)):
+        if self._is_folded((router, incarnation)):
             return
         self._gone[router] = incarnation
-        for source in [item for item in self._units if self._is_gone(item)]:
+        for source in [item for item in self._units if self._is_folded(item)]:
             for key, units in self._units.pop(source).items():
                 self._folded[key] = self._folded.get(key, 0.0) + units
 
     def snapshot(self) -> Snapshot:
         """Return what a router that starts without state must know."""
-        counters = [item for source in self._units for item in self._list(source)]
+        counters = [
+            item for source in self._units for item in self._iter_counters(source)
+        ]
         lifts = [Lift(*key, level) for key, level in self._lifts.items()]
         return Snapshot(
             tuple(counters), tuple(lifts), dict(self._folded), dict(self._gone)
         )
 
-    def adopt(self, snapshot: Snapshot) -> None:
+    def load_snapshot(self, snapshot: Snapshot) -> None:
         """Begin from the knowledge of a peer; later ones than the first are merged.
 
         Sums of folded incarnations cannot be merged, so they are taken from one peer
@@ -235,15 +237,15 @@
         if not self._gone and snapshot.gone:
             self._gone = dict(snapshot.gone)
             self._folded = dict(snapshot.folded)
-            for source in [item for item in self._units if self._is_gone(item)]:
+            for source in [item for item in self._units if self._is_folded(item)]:
                 del self._units[source]
-            self._sum_totals()
+            self._recompute_totals()
         for counter in snapshot.counters:
             self.merge(counter)
         for lift in snapshot.lifts:
             self.merge_lift(lift)
 
-    def _lift_to(
+    def _raise_level(
         self, service: ids.ServiceId, account: ids.AccountId, level: float
     ) -> Lift | None:
         missing = level - self.level(service, account)
@@ -253,7 +255,7 @@
         self._lifts[key] = self._lifts.get(key, 0.0) + missing
         return Lift(service, account, self._lifts[key])
 
-    def _raise(self, source: Source, key: Key, units: float, *, add: bool) -> bool:
+    def _increase(self, source: Source, key: Key, units: float, *, add: bool) -> bool:
         counters = self._units.setdefault(source, {})
         old = counters.get(key, 0.0)
         new = old + units if add else units
@@ -263,22 +265,22 @@
         self._totals[key] = self._totals.get(key, 0.0) + new - old
         return True
 
-    def _is_gone(self, source: Source) -> bool:
+    def _is_folded(self, source: Source) -> bool:
         router, incarnation = source
         return source != self._own and incarnation <= self._gone.get(router, -1)
 
-    def _list(self, source: Source) -> Iterable[messages.Counter]:
+    def _iter_counters(self, source: Source) -> Iterable[messages.Counter]:
         for (service, account), units in self._units[source].items():
             yield messages.Counter(*source, service, account, units)
 
-    def _sum_totals(self) -> None:
+    def _recompute_totals(self) -> None:
         self._totals = dict(self._folded)
         for counters in self._units.values():
             for key, units in counters.items():
                 self._totals[key] = self._totals.get(key, 0.0) + units
 
 
-class Estimator:
+class CostEstimator:
     """Learns what requests of an account cost, because hints are off by threefold.
 
     Without a settled request of the account the hint counts, and without a hint the
@@ -288,7 +290,7 @@
     def __init__(self) -> None:
         self._means: dict[Key, float] = {}
 
-    def settle(
+    def record_cost(
         self, service: ids.ServiceId, account: ids.AccountId, cost: float
     ) -> None:
         """Learn from the true cost of a request that ended, in cost units."""
--- a/celeryspan/decisions/slots.py
+++ b/celeryspan/decisions/slots.py
@@ -20,39 +20,39 @@
 
 # A server whose grant came back unused is taken last for so long, in seconds: longer
 # than the router needs to say again what waits, short against any request.
-RETURNED_SECONDS = 0.1
+RETURN_BACKOFF_SECONDS = 0.1
 
 
-class Held(msgspec.Struct, eq=False):
+class AllocatedSlot(msgspec.Struct, eq=False):
     """One slot in use, or granted and not yet used.
 
     Attributes
     ----------
     grant : GrantId or None
         None for a slot that a router named after a take-over.
-    expires : float
+    expires_at : float
         Monotonic seconds; infinite once it is used.
     """
 
     grant: ids.GrantId | None
     router: ids.RouterId
     account: ids.AccountId
-    expires: float
+    expires_at: float
 
     @property
     def is_used(self) -> bool:
         """Whether the request has been sent."""
-        return math.isinf(self.expires)
+        return math.isinf(self.expires_at)
 
 
-class Entry(msgspec.Struct):
+class ServerSlots(msgspec.Struct):
     """The slots of one server.
 
     Attributes
     ----------
     awaited : set of RouterId
         Routers that have yet to say which slots they hold.
-    recovered_at : float
+    recovery_ends_at : float
         When the home stops to wait for them, in monotonic seconds.
     returned_at : float
         When a grant last came back unused, in monotonic seconds.
@@ -61,24 +61,28 @@
     service: ids.ServiceId
     window: int
     awaited: set[ids.RouterId]
-    recovered_at: float
-    held: list[Held] = msgspec.field(default_factory=list)
+    recovery_ends_at: float
+    held: list[AllocatedSlot] = msgspec.field(default_factory=list)
     returned_at: float = -math.inf
 
-    def is_open(self, now: float) -> bool:
+    def has_free_slot(self, now: float) -> bool:
         """Return whether a slot is free and may be granted."""
         if len(self.held) >= self.window:
             return False
-        return not self.awaited or now >= self.recovered_at
+        return not self.awaited or now >= self.recovery_ends_at
 
-    def find_grant(self, router: ids.RouterId, grant: ids.GrantId) -> Held | None:
+    def find_grant(
+        self, router: ids.RouterId, grant: ids.GrantId
+    ) -> AllocatedSlot | None:
         """Return the slot of a grant."""
         for held in self.held:
             if held.grant == grant and held.router == router:
                 return held
         return None
 
-    def find_unnamed(self, router: ids.RouterId, account: ids.AccountId) -> Held | None:
+    def find_without_grant(
+        self, router: ids.RouterId, account: ids.AccountId
+    ) -> AllocatedSlot | None:
         """Return a slot that is known by router and account only."""
         for held in self.held:
             if held.grant is None and (held.router, held.account) == (router, account):
@@ -86,41 +90,41 @@
         return None
 
 
-class Slots:
+class SlotTable:
     """All servers of one home, with a count for each (service, account)."""
 
     def __init__(self) -> None:
-        self.entries: dict[ids.ServerId, Entry] = {}
+        self.servers: dict[ids.ServerId, ServerSlots] = {}
         self._counts: dict[sharing.Key, int] = {}
         self._changed: dict[sharing.Key, None] = {}
 
-    def take(self, entry: Entry, held: Held) -> None:
+    def allocate(self, entry: ServerSlots, held: AllocatedSlot) -> None:
         """Count a slot as held."""
         entry.held.append(held)
-        self._count(entry, held, 1)
+        self._adjust_count(entry, held, 1)
 
-    def free(self, entry: Entry, held: Held) -> None:
+    def release(self, entry: ServerSlots, held: AllocatedSlot) -> None:
         """Count a slot as free."""
         entry.held.remove(held)
-        self._count(entry, held, -1)
+        self._adjust_count(entry, held, -1)
 
-    def count(self, service: ids.ServiceId, account: ids.AccountId) -> int:
+    def count_held(self, service: ids.ServiceId, account: ids.AccountId) -> int:
         """Return the slots of a service that an account holds here."""
         return self._counts.get((service, account), 0)
 
-    def windows(self, service: ids.ServiceId) -> int:
+    def total_window(self, service: ids.ServiceId) -> int:
         """Return the slots of a service that this home may grant."""
-        entries = self.entries.values()
+        entries = self.servers.values()
         return sum(entry.window for entry in entries if entry.service == service)
 
     def services(self) -> list[ids.ServiceId]:
         """Return the services of the servers here, in order."""
-        return sorted({entry.service for entry in self.entries.values()})
+        return sorted({entry.service for entry in self.servers.values()})
 
-    def open_services(self, now: float) -> list[ids.ServiceId]:
+    def services_with_free_slots(self, now: float) -> list[ids.ServiceId]:
         """Return the services with a free slot here, in order."""
-        entries = self.entries.values()
-        return sorted({entry.service for entry in entries if entry.is_open(now)})
+        entries = self.servers.values()
+        return sorted({entry.service for entry in entries if entry.has_free_slot(now)})
 
     def pick_server(self, service: ids.ServiceId, now: float) -> ids.ServerId | None:
         """Return the server with the greatest free part, or None if all are full.
@@ -132,24 +136,26 @@
         """
         free = {
             server: (
-                now - entry.returned_at >= RETURNED_SECONDS,
+                now - entry.returned_at >= RETURN_BACKOFF_SECONDS,
                 1.0 - len(entry.held) / entry.window,
             )
-            for server, entry in self.entries.items()
-            if entry.service == service and entry.is_open(now)
+            for server, entry in self.servers.items()
+            if entry.service == service and entry.has_free_slot(now)
         }
         return max(free, key=lambda server: free[server], default=None)
 
-    def list_held(self) -> list[sharing.Key]:
+    def list_holders(self) -> list[sharing.Key]:
         """Return the (service, account) pairs that hold a slot here."""
         return list(self._counts)
 
-    def take_changed(self) -> list[sharing.Key]:
+    def pop_changed(self) -> list[sharing.Key]:
         """Return the (service, account) pairs whose count changed since last time."""
         changed, self._changed = list(self._changed), {}
         return changed
 
-    def _count(self, entry: Entry, held: Held, change: int) -> None:
+    def _adjust_count(
+        self, entry: ServerSlots, held: AllocatedSlot, change: int
+    ) -> None:
         key = (entry.service, held.account)
         self._counts[key] = self._counts.get(key, 0) + change
         self._changed[key] = None
--- a/celeryspan/decisions/seats.py
+++ b/celeryspan/decisions/threadquota.py
@@ -19,7 +19,7 @@
 from celeryspan import ids
 
 
-class Seats:
+class ThreadQuota:
     """Counts the threads that client accounts hold.
 
     Parameters
@@ -33,7 +33,7 @@
         self._held: collections.Counter[ids.AccountId] = collections.Counter()
         self._total = 0
 
-    def take(self, account: ids.AccountId) -> bool:
+    def acquire(self, account: ids.AccountId) -> bool:
         """Count one more thread for an account, or refuse it."""
         if self._held[account] >= self._limit - self._total:
             return False
@@ -41,7 +41,7 @@
         self._total += 1
         return True
 
-    def give_back(self, account: ids.AccountId) -> None:
+    def release(self, account: ids.AccountId) -> None:
         """Count one less."""
         self._total -= 1
         self._held[account] -= 1
--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -11,7 +11,7 @@
 import cherrypy
 
 from celeryspan import calls, errors, events, ids, kernel, metrics, states
-from celeryspan.decisions import seats, tickets
+from celeryspan.decisions import threadquota, tickets
 from celeryspan.services import (
     addresses,
     answers,
@@ -69,7 +69,7 @@
         self.in_progress: set[exchange.Exchange] = set()
         self._random = random.Random(f"{self.settings.router} {time.time_ns()}")
         self._lock = threading.Lock()
-        self._seats = seats.Seats(self.settings.caller_threads)
+        self._thread_quota = threadquota.ThreadQuota(self.settings.caller_threads)
         self._server = self._make_server()
 
     def start(self) -> None:
@@ -200,14 +200,14 @@
 
     def _take_seat(self, found: exchange.Exchange, call: calls.Call) -> None:
         with self._lock:
-            taken = self._seats.take(call.account)
+            taken = self._thread_quota.acquire(call.account)
         if not taken:
             raise make_overload("account-full", self._random.random())
         found.finally_do(lambda: self._give_back_seat(call.account))
 
     def _give_back_seat(self, account: ids.AccountId) -> None:
         with self._lock:
-            self._seats.give_back(account)
+            self._thread_quota.release(account)
 
     def _leave(self, found: exchange.Exchange) -> None:
         with self._lock:
--- a/celeryspan/services/counters.py
+++ b/celeryspan/services/counters.py
@@ -51,7 +51,7 @@
         )
         self._delivery: delivery.DeliveryService = box.find("delivery")
         self._identity: identity.IdentityService = box.find("identity")
-        self._exchange = exchange.Exchange(exchange.Units())
+        self._exchange = exchange.CounterReporter(exchange.ThresholdRule())
         self._incarnations: dict[ids.RouterId, ids.Incarnation] = {}
         self._folds: collections.deque[tuple[float, ids.RouterId, ids.Incarnation]] = (
             collections.deque()
@@ -84,7 +84,7 @@
     ) -> None:
         """Count service that streamed through this router, in cost units."""
         with self.lock:
-            self.counters.give(service, account, units)
+            self.counters.record_service(service, account, units)
 
     def tell(self, found: Iterable[messages.Lift | messages.Pending]) -> None:
         """Tell the other homes of a service what the home on this router decided."""
@@ -137,7 +137,7 @@
         folded = {(item.service, item.account): item.units for item in found.totals}
         gone = {item.router: item.incarnation for item in found.gone}
         with self.lock:
-            self.counters.adopt(
+            self.counters.load_snapshot(
                 sharing.Snapshot(found.counters, found.lifts, folded, gone)
             )
 
@@ -159,7 +159,10 @@
             while self._folds and self._folds[0][0] <= now:
                 _, router, incarnation = self._folds.popleft()
                 self.counters.fold(router, incarnation)
-            own = {(item.service, item.account): item for item in self.counters.own()}
+            own = {
+                (item.service, item.account): item
+                for item in self.counters.own_counters()
+            }
             units = {key: item.units for key, item in own.items()}
             due = self._exchange.find_due(units, None, now)
         for key in due:
--- a/celeryspan/services/demand.py
+++ b/celeryspan/services/demand.py
@@ -1,4 +1,4 @@
-"""Tells the homes how much waits at this router, as ``exchange.Demands`` decides."""
+"""Tells the homes how much waits here, as ``exchange.DemandReporter`` decides."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         self._assignment = places
         self._send = send
         self._note_backlog = note_backlog
-        self._demands = exchange.Demands()
+        self._demands = exchange.DemandReporter()
         self._sequence = 0
         self._turn = 0
         self._due: dict[sharing.Key, float] = {}
@@ -70,19 +70,19 @@
 
     def arrive(self, key: sharing.Key, now: float) -> None:
         """Tell a home of a new request at once if none knows of the account."""
-        if self._demands.believers(key):
+        if self._demands.informed_homes(key):
             self.plan(key, now)
         else:
             self._tell(key, now, again=False)
 
     def use(self, key: sharing.Key, home: ids.RouterId, now: float) -> None:
         """Note that a request is sent with a grant of a home."""
-        self._demands.use(key, home, now)
+        self._demands.record_use(key, home, now)
         self.plan(key, now)
 
     def refuse(self, key: sharing.Key, home: ids.RouterId, now: float) -> None:
         """Note that a grant went back; its home takes it that nothing waits here."""
-        self._demands.tell(key, home, 0)
+        self._demands.record_report(key, home, 0)
         self.plan(key, now)
 
     def forget(self, found: Iterable[ids.RouterId], now: float) -> None:
@@ -94,9 +94,9 @@
 
     def plan(self, key: sharing.Key, now: float) -> None:
         """Tell homes soon if one believes something false, else with the next batch."""
-        believers = self._demands.believers(key)
+        believers = self._demands.informed_homes(key)
         is_urgent = bool(believers) != bool(self._queues.waiting(*key))
-        seconds = 0.0 if is_urgent else exchange.DEMAND_SECONDS
+        seconds = 0.0 if is_urgent else exchange.DEMAND_BATCH_SECONDS
         self._due[key] = min(self._due.get(key, math.inf), now + seconds)
         if is_urgent:
             self._changed.set()
@@ -111,13 +111,13 @@
         """
         waiting = self._queues.waiting(*key)
         stage = self._demands.find_stage(key, waiting, now)
-        targets = dict.fromkeys(self._demands.believers(key))
+        targets = dict.fromkeys(self._demands.informed_homes(key))
         targets.update(dict.fromkeys(self._choose_homes(key, stage, now)))
         self._sequence += 1
         demand = self._queues.demand(*key, self._sequence, now)
         for home in targets:
-            if again or self._demands.belief(key, home) != waiting:
-                self._demands.tell(key, home, waiting)
+            if again or self._demands.reported_waiting(key, home) != waiting:
+                self._demands.record_report(key, home, waiting)
                 self._send(home, demand)
         if stage is exchange.Stage.ONE:
             self._due[key] = now + exchange.ESCALATE_SECONDS
@@ -133,9 +133,9 @@
             return ()
         if stage is exchange.Stage.ALL:
             found = self._assignment.find_homes(service)
-            attempt = self._demands.find_attempt(key, now)
+            attempt = self._demands.find_sample_number(key, now)
             return homes.sample(found, self._router, service, attempt)
-        if self._demands.believers(key):
+        if self._demands.informed_homes(key):
             return ()
         self._turn += 1
         servers = self._assignment.map_servers(service)
--- a/celeryspan/services/dispatch.py
+++ b/celeryspan/services/dispatch.py
@@ -97,7 +97,7 @@
         self._lock = threading.Lock()
         self._queues = queueing.Queues()
         self._admission = admission.Admission(self._queues)
-        self._estimator = sharing.Estimator()
+        self._estimator = sharing.CostEstimator()
         self.cache = routing.CacheMap()
         self._routing = routing.Routing(self.cache)
         self._waiters: dict[ids.RequestId, _Waiter] = {}
@@ -249,7 +249,7 @@
         count = self._bounces.get((key, server), 0) + 1
         self._bounces[key, server] = count
         if count >= BOUNCES_MAX:
-            self._queues.relax(*key, server)
+            self._queues.clear_exclusion(*key, server)
             del self._bounces[key, server]
 
     def _fit(self, server: ids.ServerId, work: dispatch.Work) -> float:
@@ -271,9 +271,9 @@
         with self._lock:
             self._held.remove(slot)
             answered = ending is dispatch.Ending.ANSWERED
-            self._queues.end(work.request, time.monotonic(), answered)
+            self._queues.finish(work.request, time.monotonic(), answered)
             if answered:
-                self._estimator.settle(work.service, work.account, cost)
+                self._estimator.record_cost(work.service, work.account, cost)
         self._outliers.record(slot, ending, cost)
         if ending is dispatch.Ending.LEAVING:
             self._vmlist.mark_leaving(slot.server)
--- a/celeryspan/services/homes.py
+++ b/celeryspan/services/homes.py
@@ -91,9 +91,9 @@
     def start(self) -> None:
         """Begin to hand out slots."""
         handlers: dict[type, Callable] = {
-            messages.Demand: self._ledger.report,
+            messages.Demand: self._ledger.update_demand,
             messages.GrantUsed: self._use,
-            messages.GrantEnded: self._ledger.ended,
+            messages.GrantEnded: self._ledger.end_grant,
             messages.SlotsHeld: self._hold,
         }
         for kind, change in handlers.items():
@@ -201,20 +201,20 @@
         so that the server gets up to twice its window.
         """
         if held.server in self._ledger.servers():
-            self._ledger.hold(router, held, now)
+            self._ledger.set_held(router, held, now)
         else:
             self._early[held.server, router] = _Early(held, now)
 
     def _use(self, router: ids.RouterId, used: messages.GrantUsed, now: float) -> None:
-        self._ledger.used(router, used, now)
+        self._ledger.mark_used(router, used, now)
         self._votes.note_use(router, used.server, now)
 
     def _replay_early(self, server: ids.ServerId, now: float) -> None:
         for key in [key for key in self._early if key[0] == server]:
-            self._ledger.hold(key[1], self._early.pop(key).held, now)
+            self._ledger.set_held(key[1], self._early.pop(key).held, now)
 
     def _drop(self, server: ids.ServerId) -> None:
-        self._ledger.drop_server(server)
+        self._ledger.remove_server(server)
         self._windows.forget(server)
         self._votes.forget(server)
         self._metrics.forget_server(server)
@@ -243,8 +243,8 @@
             decided: list[messages.Lift | messages.Pending] = []
             if now - self._told_at >= TELL_SECONDS:
                 self._told_at = now
-                decided += self._ledger.take_lifts()
-                decided += self._ledger.take_pending()
+                decided += self._ledger.pop_lifts()
+                decided += self._ledger.pop_pending()
         for each in issued:
             self._delivery.send(each.router, each.grant)
         self._counters.tell(decided)
--- a/celeryspan/services/slots.py
+++ b/celeryspan/services/slots.py
@@ -46,7 +46,11 @@
     """
 
     def __init__(
-        self, grant: messages.Grant, entry: queueing.Entry, now: float, owner: Owner
+        self,
+        grant: messages.Grant,
+        entry: queueing.QueuedRequest,
+        now: float,
+        owner: Owner,
     ) -> None:
         self.grant = grant
         self.entry = entry
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -81,7 +81,7 @@
     together and are refused together again.
     """
     queues = queueing.Queues()
-    control = admission.Admission(queues, admission.Bounds(waiting=10))
+    control = admission.Admission(queues, admission.AdmissionLimits(waiting=10))
     for index in range(10):
         control.admit(make_work(f"w{index}"), 1, 1.0, 0.0, 0.5)
     for at in range(1, 6):
@@ -114,7 +114,7 @@
 def test_the_account_with_most_waiting_bytes_gives_way() -> None:
     """A farmer's short note is refused because an airline's uploads fill the memory."""
     queues = queueing.Queues()
-    bounds = admission.Bounds(total_bytes=100)
+    bounds = admission.AdmissionLimits(total_bytes=100)
     control = admission.Admission(queues, bounds)
     for index in range(10):
         control.admit(make_work(f"big{index}", "big"), 10, 1.0, float(index), 0.5)
--- a/tests/decisions/test_exchange.py
+++ b/tests/decisions/test_exchange.py
@@ -12,7 +12,7 @@
 
 
 def test_account_is_told_once_its_unreported_service_passes_the_bound() -> None:
-    found = exchange.Exchange(exchange.Units(200.0))
+    found = exchange.CounterReporter(exchange.ThresholdRule(200.0))
     assert found.find_due({KEY: 10.0}, None, 0.0) == (KEY,)
     assert found.find_due({KEY: 210.0}, None, 0.1) == ()
     assert found.find_due({KEY: 211.0}, None, 0.2) == (KEY,)
@@ -20,7 +20,7 @@
 
 
 def test_service_that_collides_with_nobody_waits_for_the_refresh() -> None:
-    found = exchange.Exchange(exchange.Units(200.0))
+    found = exchange.CounterReporter(exchange.ThresholdRule(200.0))
     found.find_due({KEY: 1.0}, frozenset(), 0.0)
     assert found.find_due({KEY: 900.0}, frozenset(), 1.0) == ()
     assert found.find_due({KEY: 900.0}, {KEY}, 1.0) == (KEY,)
@@ -29,7 +29,7 @@
 
 
 def test_period_tells_what_changed() -> None:
-    found = exchange.Exchange(exchange.Period(0.5))
+    found = exchange.CounterReporter(exchange.PeriodicRule(0.5))
     assert found.find_due({KEY: 1.0}, None, 0.0) == (KEY,)
     assert found.find_due({KEY: 900.0}, None, 0.4) == ()
     assert found.find_due({KEY: 900.0}, None, 0.5) == (KEY,)
@@ -37,34 +37,34 @@
 
 
 def test_new_home_is_told_everything() -> None:
-    found = exchange.Exchange(exchange.Units(200.0))
+    found = exchange.CounterReporter(exchange.ThresholdRule(200.0))
     found.find_due({KEY: 10.0}, None, 0.0)
     found.forget(KEY[0])
     assert found.find_due({KEY: 10.0}, None, 0.1) == (KEY,)
 
 
 def test_first_request_asks_one_home_and_then_all() -> None:
-    demands = exchange.Demands()
+    demands = exchange.DemandReporter()
     assert demands.find_stage(KEY, 0, 1.0) is exchange.Stage.NONE
     assert demands.find_stage(KEY, 1, 1.0) is exchange.Stage.ONE
     later = 1.0 + exchange.ESCALATE_SECONDS
     assert demands.find_stage(KEY, 1, later) is exchange.Stage.ALL
-    assert demands.find_attempt(KEY, 1.0 + 2.5 * exchange.RESAMPLE_SECONDS) == 2
+    assert demands.find_sample_number(KEY, 1.0 + 2.5 * exchange.RESAMPLE_SECONDS) == 2
 
 
 @pytest.mark.parametrize("waiting", [0, 1])
 def test_home_is_told_at_once_when_it_believes_something_false(waiting: int) -> None:
-    demands = exchange.Demands()
-    demands.tell(KEY, HOME, 1 - waiting)
+    demands = exchange.DemandReporter()
+    demands.record_report(KEY, HOME, 1 - waiting)
     assert demands.is_urgent(KEY, HOME, waiting)
 
 
 def test_belief_follows_the_requests_sent() -> None:
-    demands = exchange.Demands()
+    demands = exchange.DemandReporter()
     demands.find_stage(KEY, 2, 1.0)
-    demands.tell(KEY, HOME, 2)
-    demands.use(KEY, HOME, 1.1)
-    assert demands.belief(KEY, HOME) == 1
-    assert demands.believers(KEY) == (HOME,)
+    demands.record_report(KEY, HOME, 2)
+    demands.record_use(KEY, HOME, 1.1)
+    assert demands.reported_waiting(KEY, HOME) == 1
+    assert demands.informed_homes(KEY) == (HOME,)
     demands.forget(HOME)
-    assert demands.believers(KEY) == ()
+    assert demands.informed_homes(KEY) == ()
--- a/tests/decisions/test_grants.py
+++ b/tests/decisions/test_grants.py
@@ -15,7 +15,7 @@
 WINDOW = 4
 AIRLINE, HANDLER = map(ids.AccountId, ("airline", "handler"))
 ROUTERS = [ids.RouterId("router-1"), ids.RouterId("router-2")]
-LATER = grants.LEARN_SECONDS
+LATER = grants.LIFT_WARMUP_SECONDS
 
 
 def make_ledger(window: int = WINDOW) -> grants.Ledger:
@@ -52,8 +52,8 @@
         self.ledger = make_ledger()
         self.now = LATER
         self.sequence = itertools.count(1)
-        self.granted: list[grants.Issued] = []
-        self.running: list[grants.Issued] = []
+        self.granted: list[grants.IssuedGrant] = []
+        self.running: list[grants.IssuedGrant] = []
         self.under_way: list[tuple] = []
 
     @stateful.rule(
@@ -65,7 +65,7 @@
         self, router: ids.RouterId, account: ids.AccountId, waiting: int
     ) -> None:
         demand = make_demand(account, waiting, next(self.sequence))
-        self.under_way.append((self.ledger.report, router, demand))
+        self.under_way.append((self.ledger.update_demand, router, demand))
 
     @stateful.precondition(lambda self: self.under_way)
     @stateful.rule(data=strategies.data(), keep=strategies.booleans())
@@ -97,7 +97,9 @@
             data.draw(strategies.integers(0, len(self.granted) - 1))
         )
         self.running.append(item)
-        self.under_way.append((self.ledger.used, item.router, make_used(item.grant)))
+        self.under_way.append(
+            (self.ledger.mark_used, item.router, make_used(item.grant))
+        )
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(data=strategies.data())
@@ -106,7 +108,7 @@
             data.draw(strategies.integers(0, len(self.running) - 1))
         )
         ended = make_ended(item.grant, 400.0)
-        self.under_way.append((self.ledger.ended, item.router, ended))
+        self.under_way.append((self.ledger.end_grant, item.router, ended))
 
     @stateful.rule()
     def wait(self) -> None:
@@ -119,11 +121,11 @@
         for router in ROUTERS:
             held = [item for item in self.running if item.router == router]
             told = tuple((item.grant.account, 400.0) for item in held)
-            self.ledger.hold(router, messages.SlotsHeld(SERVER, told), self.now)
+            self.ledger.set_held(router, messages.SlotsHeld(SERVER, told), self.now)
         assert self.ledger.in_use(SERVER) == len(self.running)
         for router in ROUTERS:
             demand = make_demand(AIRLINE, 9, next(self.sequence))
-            self.ledger.report(router, demand, self.now)
+            self.ledger.update_demand(router, demand, self.now)
         self.ledger.issue(self.now)
         assert self.ledger.in_use(SERVER) >= WINDOW
 
@@ -133,16 +135,16 @@
 
 def test_all_slots_go_to_the_only_router_that_waits() -> None:
     ledger = make_ledger()
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 9, 1), LATER)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 9, 1), LATER)
     issued = ledger.issue(LATER)
     assert [item.router for item in issued] == [ROUTERS[0]] * WINDOW
 
 
 def test_two_accounts_share_slots_and_oldest_router_comes_first() -> None:
     ledger = make_ledger()
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 9, 1, age=1.0), LATER)
-    ledger.report(ROUTERS[1], make_demand(AIRLINE, 9, 1, age=5.0), LATER)
-    ledger.report(ROUTERS[1], make_demand(HANDLER, 9, 2), LATER)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 9, 1, age=1.0), LATER)
+    ledger.update_demand(ROUTERS[1], make_demand(AIRLINE, 9, 1, age=5.0), LATER)
+    ledger.update_demand(ROUTERS[1], make_demand(HANDLER, 9, 2), LATER)
     issued = ledger.issue(LATER)
     accounts = [item.grant.account for item in issued]
     assert sorted(accounts) == [AIRLINE, AIRLINE, HANDLER, HANDLER]
@@ -157,17 +159,17 @@
     it gets none while others wait.
     """
     ledger = make_ledger()
-    ledger._counters.give(SERVICE, AIRLINE, 50000.0)
-    ledger.report(ROUTERS[0], make_demand(HANDLER, 9, 1), 0.0)
-    ledger.report(ROUTERS[1], make_demand(AIRLINE, 9, 1), 0.0)
+    ledger._counters.record_service(SERVICE, AIRLINE, 50000.0)
+    ledger.update_demand(ROUTERS[0], make_demand(HANDLER, 9, 1), 0.0)
+    ledger.update_demand(ROUTERS[1], make_demand(AIRLINE, 9, 1), 0.0)
     accounts = [item.grant.account for item in ledger.issue(LATER)]
     assert accounts == [HANDLER, HANDLER, AIRLINE, AIRLINE]
 
 
 def test_late_and_doubled_reports_change_nothing() -> None:
     ledger = make_ledger()
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 0, 2), LATER)
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 3, 1), LATER)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 0, 2), LATER)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 3, 1), LATER)
     assert ledger.issue(LATER) == []
 
 
@@ -178,10 +180,10 @@
     slot idle, while others wait for that slot.
     """
     ledger = make_ledger(window=1)
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 1, 1), LATER)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 1, 1), LATER)
     grant = ledger.issue(LATER)[0].grant
-    ledger.report(ROUTERS[1], make_demand(HANDLER, 1, 1), LATER)
-    ledger.ended(ROUTERS[0], make_ended(grant, 0.0), LATER)
+    ledger.update_demand(ROUTERS[1], make_demand(HANDLER, 1, 1), LATER)
+    ledger.end_grant(ROUTERS[0], make_ended(grant, 0.0), LATER)
     assert [item.grant.account for item in ledger.issue(LATER)] == [HANDLER]
 
 
@@ -193,31 +195,31 @@
     """
     ledger = make_ledger(window=0)
     ledger.add_server(SERVER, SERVICE, 2, 10.0, awaited=ROUTERS)
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 5, 1), 10.0)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 5, 1), 10.0)
     assert ledger.issue(10.0) == []
     held = messages.SlotsHeld(SERVER, ((HANDLER, 400.0),))
-    ledger.hold(ROUTERS[0], held, 10.1)
+    ledger.set_held(ROUTERS[0], held, 10.1)
     assert ledger.issue(10.1) == []
-    ledger.hold(ROUTERS[1], messages.SlotsHeld(SERVER, ()), 10.1)
+    ledger.set_held(ROUTERS[1], messages.SlotsHeld(SERVER, ()), 10.1)
     assert len(ledger.issue(10.1)) == 1
     ended = messages.GrantEnded(ids.GrantId(7), SERVER, HANDLER, 300.0)
-    ledger.ended(ROUTERS[0], ended, 10.2)
+    ledger.end_grant(ROUTERS[0], ended, 10.2)
     assert len(ledger.issue(10.2)) == 1
 
 
 def test_new_home_does_not_wait_for_a_dead_router() -> None:
     ledger = make_ledger(window=0)
     ledger.add_server(SERVER, SERVICE, 2, 10.0, awaited=ROUTERS)
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 5, 1), 10.0)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 5, 1), 10.0)
     assert len(ledger.issue(10.0 + grants.RECOVERY_SECONDS)) == 2
 
 
 def test_dead_router_gives_its_slots_back() -> None:
     ledger = make_ledger()
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 9, 1), LATER)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 9, 1), LATER)
     for item in ledger.issue(LATER):
-        ledger.used(ROUTERS[0], make_used(item.grant), LATER)
-    ledger.report(ROUTERS[1], make_demand(HANDLER, 9, 1), LATER)
+        ledger.mark_used(ROUTERS[0], make_used(item.grant), LATER)
+    ledger.update_demand(ROUTERS[1], make_demand(HANDLER, 9, 1), LATER)
     ledger.forget_router(ROUTERS[0])
     issued = ledger.issue(LATER)
     assert [item.grant.account for item in issued] == [HANDLER] * WINDOW
@@ -230,10 +232,10 @@
     wait for all that the airline had ever received.
     """
     ledger = make_ledger()
-    ledger._counters.give(SERVICE, AIRLINE, 50000.0)
-    ledger.report(ROUTERS[0], make_demand(AIRLINE, 1, 1), 0.5)
-    ledger.report(ROUTERS[0], make_demand(HANDLER, 1, 2), 0.5)
-    assert ledger.take_lifts() == []
+    ledger._counters.record_service(SERVICE, AIRLINE, 50000.0)
+    ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 1, 1), 0.5)
+    ledger.update_demand(ROUTERS[0], make_demand(HANDLER, 1, 2), 0.5)
+    assert ledger.pop_lifts() == []
 
 
 def test_a_grant_that_came_back_is_followed_by_one_for_another_server() -> None:
@@ -247,10 +249,10 @@
     ledger.add_server(other, SERVICE, WINDOW, 0.0)
     offered = []
     for sequence in (1, 2):
-        ledger.report(ROUTERS[0], make_demand(HANDLER, 1, sequence), LATER)
+        ledger.update_demand(ROUTERS[0], make_demand(HANDLER, 1, sequence), LATER)
         (issued,) = ledger.issue(LATER)
         offered.append(issued.grant.server)
-        ledger.ended(ROUTERS[0], make_ended(issued.grant, 0.0), LATER)
+        ledger.end_grant(ROUTERS[0], make_ended(issued.grant, 0.0), LATER)
     assert sorted(offered) == [SERVER, other]
 
 
@@ -264,17 +266,17 @@
     first, second = make_ledger(), make_ledger()
     running = []
     for sequence, ledger in enumerate((first, second), start=1):
-        ledger.report(ROUTERS[0], make_demand(AIRLINE, 8, sequence), LATER)
+        ledger.update_demand(ROUTERS[0], make_demand(AIRLINE, 8, sequence), LATER)
         for item in ledger.issue(LATER):
-            ledger.used(ROUTERS[0], make_used(item.grant), LATER)
+            ledger.mark_used(ROUTERS[0], make_used(item.grant), LATER)
             running.append(item.grant)
     assert len(running) == 2 * WINDOW
-    second.drop_server(SERVER)
+    second.remove_server(SERVER)
     held = messages.SlotsHeld(SERVER, ((AIRLINE, 400.0),) * len(running))
-    first.hold(ROUTERS[0], held, LATER)
+    first.set_held(ROUTERS[0], held, LATER)
     for grant in running[:WINDOW]:
         assert first.issue(LATER) == []
-        first.ended(ROUTERS[0], make_ended(grant, 400.0), LATER)
+        first.end_grant(ROUTERS[0], make_ended(grant, 400.0), LATER)
     assert first.issue(LATER) == []
-    first.ended(ROUTERS[0], make_ended(running[WINDOW], 400.0), LATER)
+    first.end_grant(ROUTERS[0], make_ended(running[WINDOW], 400.0), LATER)
     assert len(first.issue(LATER)) == 1
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -23,8 +23,10 @@
     return queues
 
 
-def pick(queues: queueing.Queues, fit: queueing.Fit | None = None) -> str | None:
-    entry = queues.pick(SERVICE, ACCOUNT, SERVER, 1.0, fit)
+def pick(
+    queues: queueing.Queues, affinity: queueing.Affinity | None = None
+) -> str | None:
+    entry = queues.pick(SERVICE, ACCOUNT, SERVER, 1.0, affinity)
     return entry.work.request if entry else None
 
 
@@ -40,7 +42,7 @@
     oldest request waits until its deadline though slots are granted all the time.
     """
     queues = fill("a")
-    for index in range(queueing.PASS_LIMIT):
+    for index in range(queueing.MAX_OVERTAKES):
         queues.add(make_work(f"hot{index}"), 10, 1.0, 0.0)
         assert pick(queues, lambda work: float(work.request != "a")) != "a"
     queues.add(make_work("hot-last"), 10, 1.0, 0.0)
@@ -67,7 +69,7 @@
 def test_restored_request_is_first_again() -> None:
     queues = fill("abc")
     assert pick(queues) == "a"
-    queues.restore(ids.RequestId("a"), 1.0)
+    queues.requeue(ids.RequestId("a"), 1.0)
     assert pick(queues, lambda work: float(work.request == "c")) == "a"
 
 
@@ -81,7 +83,7 @@
     for name in "LMN":
         queues.add(make_work(name), 10, 50.0, 0.0)
     first = [pick(queues, lambda work: float(work.request in "LMN")) for _ in "1234"]
-    assert sum(name in "LMN" for name in first) <= queueing.LONG_SHARE * 4
+    assert sum(name in "LMN" for name in first) <= queueing.MAX_LONG_SLOT_SHARE * 4
 
 
 def test_drain_rate_counts_only_backlogged_time() -> None:
--- a/tests/decisions/test_queueing_machine.py
+++ b/tests/decisions/test_queueing_machine.py
@@ -42,10 +42,10 @@
         account=strategies.sampled_from(ACCOUNTS), wanted=strategies.integers(0, 9)
     )
     def grant(self, account: ids.AccountId, wanted: int) -> None:
-        def fit(work: dispatch.Work) -> float:
+        def affinity(work: dispatch.Work) -> float:
             return float(int(work.request[1:]) % 10 == wanted)
 
-        entry = self.queues.pick(SERVICE, account, SERVER, self.now, fit)
+        entry = self.queues.pick(SERVICE, account, SERVER, self.now, affinity)
         if entry is None:
             return
         assert entry.work.account == account
@@ -63,11 +63,11 @@
         request = data.draw(strategies.sampled_from(sorted(self.granted)))
         work = self.granted.pop(request)
         if lost:
-            self.queues.restore(request, self.now)
+            self.queues.requeue(request, self.now)
             self.waiting[request] = work
         else:
-            self.queues.end(request, self.now)
-            self.queues.end(request, self.now)
+            self.queues.finish(request, self.now)
+            self.queues.finish(request, self.now)
 
     @stateful.precondition(lambda self: self.waiting)
     @stateful.rule(data=strategies.data())
@@ -94,7 +94,7 @@
 
     @stateful.invariant()
     def nothing_is_passed_over_for_ever(self) -> None:
-        limit = queueing.PASS_LIMIT
+        limit = queueing.MAX_OVERTAKES
         assert all(count <= limit + 1 for count in self.passed.values())
 
 
--- a/tests/decisions/test_sharing.py
+++ b/tests/decisions/test_sharing.py
@@ -35,12 +35,14 @@
         units=strategies.integers(1, 1000),
     )
     def give(self, router: int, account: ids.AccountId, units: int) -> None:
-        self.routers[router].give(SERVICE, account, units)
+        self.routers[router].record_service(SERVICE, account, units)
         self.given[account] += units
 
     @stateful.rule(source=strategies.integers(0, 2), other=strategies.integers(0, 2))
     def send(self, source: int, other: int) -> None:
-        self.under_way += [(other, item) for item in self.routers[source].own()]
+        self.under_way += [
+            (other, item) for item in self.routers[source].own_counters()
+        ]
 
     @stateful.precondition(lambda self: self.under_way)
     @stateful.rule(data=strategies.data(), keep=strategies.booleans())
@@ -64,7 +66,7 @@
 
     def teardown(self) -> None:
         for source in self.routers:
-            for item in source.own():
+            for item in source.own_counters():
                 for target in self.routers:
                     target.merge(item)
         for router in self.routers:
@@ -82,8 +84,8 @@
     take every slot until it has caught up; its users are served, all others wait.
     """
     counters = make_counters("router-0")
-    counters.give(SERVICE, HANDLER, 9000.0)
-    counters.give(SERVICE, TOWER, 9500.0)
+    counters.record_service(SERVICE, HANDLER, 9000.0)
+    counters.record_service(SERVICE, TOWER, 9500.0)
     lift = counters.lift(SERVICE, AIRLINE, [HANDLER, TOWER])
     assert lift is not None
     assert counters.level(SERVICE, AIRLINE) == 9000.0
@@ -103,8 +105,8 @@
     bound of 24,000 they wait for the service of 24,000 units per account at most.
     """
     counters = make_counters("router-0")
-    counters.give(SERVICE, AIRLINE, 90000.0)
-    counters.forgive(SERVICE, [AIRLINE, HANDLER, TOWER], 24000.0)
+    counters.record_service(SERVICE, AIRLINE, 90000.0)
+    counters.limit_deficits(SERVICE, [AIRLINE, HANDLER, TOWER], 24000.0)
     assert counters.level(SERVICE, HANDLER) == 66000.0
     assert counters.level(SERVICE, TOWER) == 66000.0
     assert counters.level(SERVICE, AIRLINE) == 90000.0
@@ -114,7 +116,7 @@
     counters = sharing.Counters(
         ids.RouterId("router-0"), ids.Incarnation(1), lambda _: 4.0
     )
-    counters.give(SERVICE, AIRLINE, 400.0)
+    counters.record_service(SERVICE, AIRLINE, 400.0)
     assert counters.standing(SERVICE, AIRLINE, 80.0) == 120.0
 
 
@@ -147,11 +149,11 @@
     for peer in peers:
         peer.merge(dead)
         peer.fold(dead.router, dead.incarnation)
-    peers[0].give(SERVICE, AIRLINE, 40.0)
+    peers[0].record_service(SERVICE, AIRLINE, 40.0)
     peers[0].lift(SERVICE, TOWER, [AIRLINE])
     empty = make_counters("router-0", incarnation=2)
     for peer in peers:
-        empty.adopt(peer.snapshot())
+        empty.load_snapshot(peer.snapshot())
     assert empty.received(SERVICE, AIRLINE) == 540.0
     assert empty.level(SERVICE, TOWER) == 540.0
 
@@ -171,10 +173,10 @@
 
 
 def test_estimate_learns_from_true_costs() -> None:
-    estimator = sharing.Estimator()
+    estimator = sharing.CostEstimator()
     assert estimator.estimate(SERVICE, AIRLINE, None, 420.0) == 420.0
     assert estimator.estimate(SERVICE, AIRLINE, 1200.0, 420.0) == 1200.0
-    estimator.settle(SERVICE, AIRLINE, 400.0)
+    estimator.record_cost(SERVICE, AIRLINE, 400.0)
     assert estimator.estimate(SERVICE, AIRLINE, 1200.0, 420.0) == 400.0
 
 
@@ -184,11 +186,11 @@
     Taken alone it would make slots count for nothing, and whoever comes first in the
     morning's rush would hold most of them for minutes.
     """
-    charge = charges.Charge()
+    charge = charges.SlotCharge()
     for cost in (20.0, 400.0, 900.0, 360.0):
-        charge.expect(SERVICE, cost)
+        charge.record_estimate(SERVICE, cost)
     assert charge.per_slot(SERVICE) == charges.SLOT_CHARGE * 420.0
-    charge.settle(SERVICE, 920.0)
+    charge.record_cost(SERVICE, 920.0)
     assert charge.per_slot(SERVICE) == charges.SLOT_CHARGE * 520.0
 
 
@@ -197,9 +199,9 @@
 
     Were the debt bounded by their cost, whoever is owed a usual request would lose it.
     """
-    charge = charges.Charge()
-    for _ in range(charges.GREATEST_REQUESTS - 1):
-        charge.settle(SERVICE, 300.0)
-    assert charge.greatest(SERVICE) == 0.0
-    charge.settle(SERVICE, 100.0)
-    assert charge.greatest(SERVICE) == 300.0
+    charge = charges.SlotCharge()
+    for _ in range(charges.MIN_REQUESTS_FOR_MAX_COST - 1):
+        charge.record_cost(SERVICE, 300.0)
+    assert charge.max_cost(SERVICE) == 0.0
+    charge.record_cost(SERVICE, 100.0)
+    assert charge.max_cost(SERVICE) == 300.0
