--- a/celeryspan/decisions/queueing.py
+++ b/celeryspan/decisions/queueing.py
@@ -1,17 +1,18 @@
-"""Queues of one router: one for each service and client account.
+"""Request queues of one router: one queue per service and client account.
 
-Load pattern: more requests arrive than the granted slots can take, from accounts whose
-load differs by orders of magnitude, with long jobs among short ones and with prompts
-that share prefixes.
+Requests arrive faster than granted slots can serve them. The load of accounts differs
+by orders of magnitude, long jobs are mixed with short ones, and prompts share prefixes.
 
-Without it: one queue for all lets a flooding account stand before everyone else;
-strict arrival order sends a prompt to whichever server is free and recomputes a prefix
-that another server has cached; choosing by cached prefix alone passes over a request
-without a known prefix for ever; a queue that is only looked at when a slot is free
-answers a request whose time is over long after its caller has left.
+The design avoids these faults of simpler queues:
 
-Grounds of the figures: stated beside each constant; `docs/design/admission.md` has the
-measurements.
+- One queue for all accounts lets a flooding account block everyone else.
+- Strict arrival order sends a prompt to whichever server is free, and recomputes a
+  prefix that another server has cached.
+- Choosing by cached prefix alone starves requests without a cached prefix.
+- A queue that is checked only when a slot is free answers an expired request long
+  after its caller has disconnected.
+
+``docs/design/admission.md`` has the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -27,31 +28,32 @@
 from celeryspan.wire import messages
 
 MAX_OVERTAKES = 16
-"""Times that younger requests may be served before an older one of the account."""
+"""Times that younger requests of an account may be served before an older one."""
 
 MAX_CANDIDATES = 32
-"""Requests at the head of a queue that compete for a grant; bounds time per pick."""
+"""Requests at the head of a queue considered for a grant; bounds the time per pick."""
 
 LONG_COST_FACTOR = 4.0
-"""A request is long if its estimate exceeds the account's mean by this factor."""
+"""A request is long if its estimated cost exceeds the account's mean by this factor."""
 
 MAX_LONG_SLOT_SHARE = 0.5
 """Share of an account's slots that long requests may hold while short ones wait."""
 
 MEAN_COST_SMOOTHING = 0.05
-"""Weight of a new request in the account's mean estimate: the last twenty count."""
+"""Weight of a new request in the account's mean cost, about a 20-request average."""
 
 RUN_TIME_FACTOR = 1.0
-"""Share of the expected run time without which a request is not started. Measured from
-0.5 to 1.5 with hints off by three: below 1 slots are spent on late answers, above 1
-accounts within their share are refused what could be done."""
+"""Part of its expected run time that a request needs before its deadline to be started.
+With cost hints off by a factor of three, values from 0.5 to 1 spend slots on late
+answers, and values from 1 to 1.5 refuse requests, of accounts within their share, that
+could have been served."""
 
 MIN_WAIT_SHARE = 0.1
-"""Share of its time that a request may wait whatever its hint says: a hint far too high
-must not refuse a request for which a slot is about to be free."""
+"""Share of the time to its deadline that a request may always wait. Without it, a cost
+hint that is far too high would refuse a request although a slot is about to be free."""
 
 Affinity = Callable[[dispatch.Work], float]
-"""Cost units saved if a request ran on the granted server rather than elsewhere."""
+"""Returns the cost units saved by running a request on the granted server."""
 
 
 class QueuedRequest(msgspec.Struct):
@@ -66,11 +68,11 @@
     enqueued_at : float
         Time of admission, in seconds.
     start_by : float
-        Time after which the answer would come too late.
+        Time, in seconds, after which the answer would miss its deadline.
     overtaken_count : int
-        How often a younger request of the account was served before it.
+        How often a younger request of the account was served first.
     picked_at : float or None
-        Time at which it was given a grant.
+        Time at which the request received a grant, in seconds.
     """
 
     work: dispatch.Work
@@ -105,7 +107,7 @@
         self.long_running = 0
 
     def is_long(self, entry: QueuedRequest) -> bool:
-        """Tell whether a request is long for this account."""
+        """Return whether a request is long for this account."""
         return entry.cost_estimate > LONG_COST_FACTOR * self.mean_cost
 
 
@@ -124,7 +126,7 @@
     def add(
         self, work: dispatch.Work, size: int, estimate: float, now: float
     ) -> QueuedRequest:
-        """Append a request that admission has let in."""
+        """Append an admitted request."""
         start_by = now + self.max_wait(work, estimate, now)
         entry = QueuedRequest(work, size, estimate, now, start_by)
         queue = self._get_queue(work)
@@ -141,10 +143,11 @@
         now: float,
         affinity: Affinity | None = None,
     ) -> QueuedRequest | None:
-        """Take the request that fits a granted server best.
+        """Remove and return the waiting request with the highest affinity to a server.
 
-        A request is overtaken at most ``MAX_OVERTAKES`` times.
-        Returns None if no waiting request may go to this server.
+        A request is overtaken at most ``MAX_OVERTAKES`` times. While short requests
+        wait, long ones hold at most ``MAX_LONG_SLOT_SHARE`` of the account's slots.
+        Returns None if no waiting request may run on this server.
         """
         queue = self._queues.get((service, account))
         if queue is None:
@@ -163,10 +166,10 @@
     def clear_exclusion(
         self, service: ids.ServiceId, account: ids.AccountId, server: ids.ServerId
     ) -> None:
-        """Let the waiting requests of an account go to a server that failed them.
+        """Allow the waiting requests of an account to run on a server that failed them.
 
-        Guards against a grant that goes to and fro: its home has no other server, so
-        that it offers the same one for ever while the requests wait.
+        If the home has no other server, it offers the same one again each time; without
+        this, the grant would be returned repeatedly while the requests wait.
         """
         queue = self._queues.get((service, account))
         for entry in queue.entries.values() if queue else ():
@@ -174,7 +177,7 @@
             entry.work = msgspec.structs.replace(entry.work, excluded=left)
 
     def requeue(self, request: ids.RequestId, now: float) -> None:
-        """Put a picked request back in front: its grant ended before it was sent."""
+        """Put a picked request back at the head: its grant ended before it was sent."""
         entry, was_long = self._running.pop(request)
         queue = self._get_queue(entry.work)
         queue.running -= 1
@@ -186,7 +189,7 @@
         queue.entries.move_to_end(request, last=False)
 
     def finish(self, request: ids.RequestId, now: float, answered: bool = True) -> None:
-        """Forget a picked request: it has its answer or its error."""
+        """Remove a picked request that has been answered or has failed."""
         found = self._running.pop(request, None)
         if found is None:
             return
@@ -202,16 +205,16 @@
         self._discard_if_unused(entry.work)
 
     def cancel(self, request: ids.RequestId, now: float) -> QueuedRequest | None:
-        """Take out a waiting request whose caller has left."""
+        """Remove a waiting request whose caller has disconnected."""
         entry = self._waiting.get(request)
         if entry is not None:
             self._remove(entry, now)
         return entry
 
     def expire(self, now: float) -> list[QueuedRequest]:
-        """Take out requests that can no longer be answered in time.
+        """Remove and return the requests that can no longer be answered in time.
 
-        Their callers are to be told at once; run, they would take slots for nothing.
+        Their callers are told at once; running them would waste slots.
         """
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now:
@@ -223,7 +226,7 @@
         return expired
 
     def shed(self, account: ids.AccountId, now: float) -> QueuedRequest | None:
-        """Take out the youngest waiting request of an account."""
+        """Remove and return the youngest waiting request of an account."""
         found = [
             next(reversed(queue.entries.values()))
             for key, queue in self._queues.items()
@@ -248,7 +251,7 @@
         sequence: int,
         now: float,
     ) -> messages.Demand:
-        """Return what to report to the homes of a service."""
+        """Return the demand to report to the homes of a service."""
         queue = self._queues.get((service, account))
         waiting = len(queue.entries) if queue else 0
         if queue is None or not waiting:
@@ -259,25 +262,25 @@
         return messages.Demand(service, account, waiting, age, sequence, mean)
 
     def backlogged(self) -> list[tuple[ids.ServiceId, ids.AccountId]]:
-        """Return the queues in which something waits."""
+        """Return the queues that are not empty."""
         return [key for key, queue in self._queues.items() if queue.entries]
 
     def oldest(
         self, service: ids.ServiceId, account: ids.AccountId
     ) -> QueuedRequest | None:
-        """Return the first request in line, for which a server may be asked first."""
+        """Return the request at the head of a queue, or None if the queue is empty."""
         queue = self._queues.get((service, account))
         return next(iter(queue.entries.values()), None) if queue else None
 
     def waiting(self, service: ids.ServiceId, account: ids.AccountId) -> int:
-        """Return how many requests wait in one queue."""
+        """Return the length of a queue."""
         queue = self._queues.get((service, account))
         return len(queue.entries) if queue else 0
 
     def drain_rate(
         self, service: ids.ServiceId, account: ids.AccountId, now: float
     ) -> float | None:
-        """Return requests a second that leave a queue, or None if not yet known."""
+        """Return the requests per second that leave a queue, or None if unknown."""
         queue = self._queues.get((service, account))
         return queue.drain_rate.estimate(now) if queue else None
 
@@ -293,11 +296,11 @@
         return max(left - run, MIN_WAIT_SHARE * left)
 
     def account_bytes(self, account: ids.AccountId) -> int:
-        """Return the bytes that an account's waiting requests take."""
+        """Return the memory that the waiting requests of an account take, in bytes."""
         return self._bytes.get(account, 0)
 
     def largest_account(self) -> ids.AccountId | None:
-        """Return the account with the most waiting bytes."""
+        """Return the account whose waiting requests take the most memory."""
         if not self._bytes:
             return None
         return max(self._bytes, key=lambda account: (self._bytes[account], account))
@@ -375,7 +378,7 @@
             self._discard_if_unused(work)
 
     def _discard_if_unused(self, work: dispatch.Work) -> None:
-        """Keep a queue's measured rate; only queues that never served are dropped."""
+        """Delete an empty queue, unless it has a drain rate worth keeping."""
         key = (work.service, work.account)
         queue = self._queues[key]
         if (
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -1,4 +1,4 @@
-"""Queues of one router: order, deadlines, shares of long jobs, demand."""
+"""Request queues of one router: order, deadlines, long requests and demand."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
     return entry.work.request if entry else None
 
 
-def test_picks_in_order_of_arrival_without_a_better_fit() -> None:
+def test_picks_in_order_of_arrival_without_affinity() -> None:
     queues = fill("abc")
     assert [pick(queues) for _ in range(4)] == ["a", "b", "c", None]
 
 
-def test_an_older_request_is_passed_over_a_bounded_number_of_times() -> None:
-    """A caller without a cached prefix waits behind a stream of callers with one.
+def test_an_older_request_is_overtaken_a_bounded_number_of_times() -> None:
+    """Guards against starvation of a request without a cached prefix.
 
-    Each grant finds a younger request that fits the server better. Without a bound the
-    oldest request waits until its deadline though slots are granted all the time.
+    Each grant finds a younger request with a higher affinity to the server. Without a
+    limit the oldest request waits until its deadline while slots are granted.
     """
     queues = fill("a")
     for index in range(queueing.MAX_OVERTAKES):
-        queues.add(make_work(f"hot{index}"), 10, 1.0, 0.0)
+        queues.add(make_work(f"younger{index}"), 10, 1.0, 0.0)
         assert pick(queues, lambda work: float(work.request != "a")) != "a"
-    queues.add(make_work("hot-last"), 10, 1.0, 0.0)
+    queues.add(make_work("younger-last"), 10, 1.0, 0.0)
     assert pick(queues, lambda work: float(work.request != "a")) == "a"
 
 
-def test_expired_requests_surface_at_once_and_only_once() -> None:
+def test_expired_requests_are_returned_at_once_and_only_once() -> None:
     queues = queueing.Queues()
     queues.add(make_work("a", deadline=2.0), 10, 1.0, 0.0)
     queues.add(make_work("b", deadline=9.0), 10, 1.0, 0.0)
@@ -66,7 +66,7 @@
     assert queues.waiting(SERVICE, ACCOUNT) == 1
 
 
-def test_restored_request_is_first_again() -> None:
+def test_requeued_request_is_first_again() -> None:
     queues = fill("abc")
     assert pick(queues) == "a"
     queues.requeue(ids.RequestId("a"), 1.0)
@@ -74,10 +74,10 @@
 
 
 def test_long_requests_hold_at_most_their_share_while_short_ones_wait() -> None:
-    """A phone call from a barn waits behind a season's worth of drafts.
+    """Guards against long requests that take all slots of an account.
 
-    An account sends many long jobs and then short ones. In order of arrival every slot
-    of the account is taken by a long job for minutes.
+    An account sends many long requests and then short ones. In order of arrival, long
+    requests occupy every slot of the account for minutes.
     """
     queues = fill("abcdefgh", cost=1.0)
     for name in "LMN":
--- a/tests/decisions/test_queueing_machine.py
+++ b/tests/decisions/test_queueing_machine.py
@@ -1,4 +1,4 @@
-"""Queues under arbitrary orders of arrival, grant, loss of grant, cancel and time."""
+"""Queues under random orders of arrivals, grants, lost grants, cancels and delays."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """Each request is in one place, and leaves it once."""
+    """Each request is in exactly one place and leaves it once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,7 +24,7 @@
         self.count = 0
         self.waiting: dict[ids.RequestId, dispatch.Work] = {}
         self.granted: dict[ids.RequestId, dispatch.Work] = {}
-        self.passed: collections.Counter[ids.RequestId] = collections.Counter()
+        self.overtaken: collections.Counter[ids.RequestId] = collections.Counter()
 
     @stateful.rule(
         account=strategies.sampled_from(ACCOUNTS),
@@ -39,11 +39,11 @@
         self.waiting[request] = work
 
     @stateful.rule(
-        account=strategies.sampled_from(ACCOUNTS), wanted=strategies.integers(0, 9)
+        account=strategies.sampled_from(ACCOUNTS), preferred=strategies.integers(0, 9)
     )
-    def grant(self, account: ids.AccountId, wanted: int) -> None:
+    def grant(self, account: ids.AccountId, preferred: int) -> None:
         def affinity(work: dispatch.Work) -> float:
-            return float(int(work.request[1:]) % 10 == wanted)
+            return float(int(work.request[1:]) % 10 == preferred)
 
         entry = self.queues.pick(SERVICE, account, SERVER, self.now, affinity)
         if entry is None:
@@ -55,7 +55,7 @@
         for request, other in self.waiting.items():
             older = int(request[1:]) < int(work.request[1:])
             if other.account == account and older:
-                self.passed[request] += 1
+                self.overtaken[request] += 1
 
     @stateful.precondition(lambda self: self.granted)
     @stateful.rule(data=strategies.data(), lost=strategies.booleans())
@@ -93,9 +93,9 @@
         assert self.queues.total_bytes == 10 * len(self.waiting)
 
     @stateful.invariant()
-    def nothing_is_passed_over_for_ever(self) -> None:
+    def no_request_is_overtaken_indefinitely(self) -> None:
         limit = queueing.MAX_OVERTAKES
-        assert all(count <= limit + 1 for count in self.passed.values())
+        assert all(count <= limit + 1 for count in self.overtaken.values())
 
 
 TestQueueMachine = QueueMachine.TestCase
