--- a/celeryspan/decisions/admission.py
+++ b/celeryspan/decisions/admission.py
@@ -1,14 +1,14 @@
-"""Who is let into a queue, who is refused, and when the refused should come back.
+"""Admission control: which requests are queued or refused, and when to retry.
 
-Load pattern: a burst, a caller in a loop, or steady load at two to ten times the
-capacity, towards a router whose memory is small.
+Handles bursts, callers in a loop, and steady load at two to ten times the capacity, on
+a router with little memory.
 
-Without it: every queue grows until each answer comes after its caller has left, so
-that the fleet is fully busy and nobody is served; one account's flood takes the memory
-of all; refused callers told the same second come back together and are refused again.
+Without admission control every queue grows until each answer arrives after its caller
+has disconnected, so the fleet is busy and serves nobody. One flooding account takes all
+the memory. Callers refused with the same retry time return together and are refused
+again.
 
-Grounds of the figures: stated beside each constant; `docs/design/admission.md` has the
-measurements.
+`docs/design/admission.md` has the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from celeryspan.decisions import queueing
 
 MAX_WAITING = 512
-"""Requests of one account that wait for one service at one router."""
+"""Waiting requests of one account for one service at one router."""
 
 MAX_ACCOUNT_BYTES = 8 << 20
-"""Bytes of one account's waiting requests, as long as others need memory too."""
+"""Memory for the waiting requests of one account, so that others have memory too."""
 
 MAX_TOTAL_BYTES = 64 << 20
-"""Bytes of all waiting requests of a router; a small VM has 1 to 2 GiB."""
+"""Memory for all waiting requests of a router; a small VM has 1 to 2 GiB."""
 
 MIN_RETRY_SECONDS = 1.0
-"""Least `Retry-After`: HTTP states whole seconds."""
+"""Minimum `Retry-After`: HTTP states whole seconds."""
 
 MAX_RETRY_SECONDS = 60.0
-"""Greatest `Retry-After`: beyond it the drain rate says nothing about the future."""
+"""Maximum `Retry-After`: the drain rate cannot predict further ahead."""
 
 UNKNOWN_RETRY_SECONDS = 2.0
-"""`Retry-After` as long as no drain rate has been measured."""
+"""`Retry-After` while no drain rate is known."""
 
 JITTER_FRACTION = 0.25
-"""Width of the random part of `Retry-After`, as a share of it."""
+"""Maximum random addition to `Retry-After`, as a fraction of it."""
 
 
 class Reason(enum.Enum):
-    """Why a request is refused; the value is the error's code."""
+    """Why a request is refused; the value is the error code."""
 
     QUEUE_FULL = "queue-full"
     DEADLINE_UNREACHABLE = "deadline-unreachable"
@@ -67,12 +67,12 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A request that was not run and will not be.
+    """A request that has not run and will not run.
 
     Attributes
     ----------
     retry_after : float
-        Seconds after which a repeat is expected to be let in.
+        Seconds after which a retry is expected to be admitted.
     """
 
     request: ids.RequestId
@@ -80,7 +80,7 @@
     retry_after: float
 
     def make_error(self) -> errors.NotRun:
-        """Return the error that tells the caller."""
+        """Return the error to send to the caller."""
         return errors.NotRun(
             MESSAGES[self.reason],
             code=self.reason.value,
@@ -91,12 +91,12 @@
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """A request that waits now.
+    """A request that has been queued.
 
     Attributes
     ----------
     shed : tuple of Refused
-        Requests of the account with the most waiting bytes that gave way.
+        Requests removed to free memory, from the account with the most waiting bytes.
     """
 
     entry: queueing.QueuedRequest
@@ -107,7 +107,7 @@
 
 
 class AdmissionLimits(msgspec.Struct, frozen=True):
-    """How much may wait at one router."""
+    """Limits on the waiting requests of one router."""
 
     waiting: int = MAX_WAITING
     account_bytes: int = MAX_ACCOUNT_BYTES
@@ -115,7 +115,7 @@
 
 
 class Admission:
-    """Lets requests into the queues of one router or refuses them.
+    """Admits requests to the queues of one router or refuses them.
 
     Parameters
     ----------
@@ -140,7 +140,7 @@
         now: float,
         jitter: float,
     ) -> AdmissionResult:
-        """Let a request in or refuse it.
+        """Admit or refuse a request.
 
         Parameters
         ----------
@@ -164,10 +164,10 @@
     def refuse(
         self, work: dispatch.Work, reason: Reason, now: float, jitter: float
     ) -> Refused:
-        """Return a refusal with the time at which the account has room again.
+        """Return a refusal with the time after which a retry should be admitted.
 
-        Each refused caller is promised a place of its own: the places follow each
-        other at the account's drain rate, so that those who come back are let in.
+        Each refused caller gets a retry time of its own. The times are spaced by the
+        account's drain rate, so that callers that return are admitted.
         """
         key = (work.service, work.account)
         rate = self._queues.drain_rate(*key, now)
@@ -202,7 +202,10 @@
     def _shed_until_fits(
         self, work: dispatch.Work, size: int, now: float, jitter: float
     ) -> tuple[Refused, ...] | None:
-        """Shed from the account with the most waiting bytes until a request fits."""
+        """Shed from the account with the most waiting bytes until a request fits.
+
+        Returns None if shedding cannot free enough memory.
+        """
         shed: list[Refused] = []
         mine = self._queues.account_bytes(work.account) + size
         while self._queues.total_bytes + size > self._limits.total_bytes:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, judged by what callers receive and by what refusals promise."""
+"""Admission control: answers received by callers and retry times of refusals."""
 
 from __future__ import annotations
 
@@ -23,25 +23,26 @@
 
 
 def share_answered(records: list[one_router.Record], accounts: str) -> float:
-    mine = [one for one in records if one.call.account in accounts]
-    return sum(one.answered_at is not None for one in mine) / len(mine)
+    selected = [one for one in records if one.call.account in accounts]
+    return sum(one.answered_at is not None for one in selected) / len(selected)
 
 
-def test_a_hot_caller_does_not_touch_the_others() -> None:
-    """Ground handlers get no confirmations while one airline's script loops.
+def test_a_flooding_account_does_not_affect_the_others() -> None:
+    """Guards against one account that starves all others.
 
-    The script sends nine times what the servers can do. In one queue its requests
-    stand before everyone's, and all callers are refused or answered too late.
+    One caller sends nine times the capacity of the servers in a loop. In a single queue
+    its requests are ahead of all others, which are refused or answered too late.
     """
     assert share_answered(play("hot caller"), "bcd") > 0.99
     assert share_answered(play("hot caller", "one queue, open"), "bcd") < 0.5
 
 
 def test_others_keep_their_wait_through_a_burst() -> None:
-    """A planner's batch of 600 prompts holds up the stand checks of all others.
+    """Guards against a burst that delays the requests of other accounts.
 
-    The batch takes every free slot within a second. In one queue the others then wait
-    behind all of it; with their own queues they get the next slots that fall free.
+    A batch of 600 prompts takes every free slot within a second. In a single queue all
+    other requests wait behind the batch; with separate queues they get the next slots
+    that become free.
     """
 
     def wait_p99(case: str) -> float:
@@ -54,16 +55,16 @@
 
 @pytest.mark.parametrize("factor", ["x2", "x10"])
 def test_overload_still_answers_about_what_the_servers_can_do(factor: str) -> None:
-    """Every caller waits, gives up, and nobody is answered though all slots are busy.
+    """Guards against congestion collapse: all slots are busy but every answer is late.
 
-    Under steady overload an open queue grows until each request is started when its
-    caller has all but left; refusing early those whose time cannot suffice keeps the
-    slots for requests that are answered in time.
+    Under steady overload an unbounded queue grows until each request starts just before
+    its deadline. Refusing requests that cannot finish in time keeps the slots for those
+    that can.
     """
     records = play(f"overload {factor}")
     in_time = sum(one.call.cost for one in records if one.answered_at is not None)
-    could = patterns.CAPACITY * patterns.MEAN_COST * patterns.SECONDS
-    assert in_time > 0.8 * could
+    capacity = patterns.CAPACITY * patterns.MEAN_COST * patterns.SECONDS
+    assert in_time > 0.8 * capacity
 
 
 def test_every_refused_caller_was_not_run() -> None:
@@ -75,10 +76,10 @@
 
 
 def test_callers_refused_together_are_told_different_times() -> None:
-    """Five hundred planners press the button again in the same second.
+    """Guards against retries that arrive all at once.
 
-    All were refused at once and told the same `Retry-After`, so that they come back
-    together and are refused together again.
+    Callers refused in the same second with the same `Retry-After` return together and
+    are refused again.
     """
     queues = queueing.Queues()
     control = admission.Admission(queues, admission.AdmissionLimits(waiting=10))
@@ -111,8 +112,8 @@
     assert error.status == 503
 
 
-def test_the_account_with_most_waiting_bytes_gives_way() -> None:
-    """A farmer's short note is refused because an airline's uploads fill the memory."""
+def test_the_account_with_most_waiting_bytes_is_shed() -> None:
+    """Guards against refusing a small request when another account fills the memory."""
     queues = queueing.Queues()
     bounds = admission.AdmissionLimits(total_bytes=100)
     control = admission.Admission(queues, bounds)
