--- a/celeryspan/decisions/threadquota.py
+++ b/celeryspan/decisions/threadquota.py
@@ -1,14 +1,12 @@
-"""Which client account may take another thread of a router.
+"""Limits the router threads that one client account may hold.
 
-Load pattern: one client account opens hundreds of connections to one router and keeps
-as many requests waiting.
+A client account may open hundreds of connections to one router and keep as many
+requests waiting. Without a limit these requests take all threads, and every other
+account is refused before its fair share of any backend server is considered.
 
-Without it: the flooding account's waiting requests take all threads, and every other
-account is refused at the door, before its fair share of any backend server counts.
-
-Grounds: an account may hold as many threads as are free at that moment (the dynamic
-threshold known from shared switch buffers). One flooding account then gets half of
-them, two get a third each, and there is always room for one that comes later. A fixed
+An account may hold at most as many threads as are free at that moment, the dynamic
+threshold scheme of shared-memory switch buffers. One flooding account then gets half of
+the threads, two get a third each, and a later account always finds a free one. A fixed
 share would either leave threads unused or, with many accounts, not bound the sum.
 """
 
@@ -34,7 +32,7 @@
         self._total = 0
 
     def acquire(self, account: ids.AccountId) -> bool:
-        """Count one more thread for an account, or refuse it."""
+        """Take a thread for an account; return False if its quota is exhausted."""
         if self._held[account] >= self._limit - self._total:
             return False
         self._held[account] += 1
@@ -42,7 +40,7 @@
         return True
 
     def release(self, account: ids.AccountId) -> None:
-        """Count one less."""
+        """Return a thread of an account."""
         self._total -= 1
         self._held[account] -= 1
         if not self._held[account]:
