--- a/celeryspan/decisions/demand.py
+++ b/celeryspan/decisions/demand.py
@@ -1,10 +1,8 @@
-"""What waits where, as one home knows it.
+"""Waiting requests at each router, as known to one home.
 
-Load pattern: queues of hundreds of routers change with each request, and the home
-hears of it a little late.
-
-Without subtracting its own grants that are under way, a home would grant a slot twice
-for the same waiting request; the second grant would come back unused, and its slot
+The queues of hundreds of routers change with each request, and reports reach the home
+with a delay. The home therefore subtracts its own grants in flight. Otherwise it would
+grant a second slot for the same request, the grant would come back unused, and the slot
 would idle for a round trip.
 """
 
@@ -20,18 +18,20 @@
 if TYPE_CHECKING:
     from celeryspan.decisions import sharing
 
-# A withdrawn demand is remembered for so long, so that an older report that is still
-# under way does not bring it back. No connection keeps a frame for this long.
+# How long a withdrawn demand is kept, so that an older report still in flight does not
+# restore it. No connection delays a frame for this long.
 WITHDRAWN_RETENTION_SECONDS = 60.0
 
 
 class RouterDemand(msgspec.Struct):
-    """The last report of a router for one service and account.
+    """The latest report of a router for one service and account.
 
     Attributes
     ----------
+    received_at : float
+        When the report arrived, in monotonic seconds.
     waiting : int
-        As reported, less the requests sent since.
+        Reported requests, minus the requests sent since.
     unused : int
         Grants of this home that the router has not yet used or returned.
     """
@@ -43,27 +43,28 @@
 
     @property
     def ungranted(self) -> int:
-        """Waiting requests beyond the grants that are under way."""
+        """Number of waiting requests without a grant in flight."""
         return max(0, self.waiting - self.unused)
 
     def age(self, now: float) -> float:
-        """Return the likely age of the oldest request without a grant, in seconds.
+        """Return the estimated age of the oldest request without a grant, in seconds.
 
-        Only the age of the oldest is reported; the others are taken as evenly spaced.
+        Only the age of the oldest request is reported; arrivals are assumed to be
+        evenly spaced.
         """
         whole = self.demand.oldest_age + now - self.received_at
         return whole * self.ungranted / max(1, self.demand.waiting)
 
 
 class DemandTable:
-    """The newest report of each router, service and account."""
+    """The latest report of each router, service and account."""
 
     def __init__(self) -> None:
         self._reports: dict[sharing.Key, dict[ids.RouterId, RouterDemand]] = {}
         self._backlogged: dict[ids.ServiceId, dict[ids.AccountId, None]] = {}
 
     def update(self, router: ids.RouterId, demand: messages.Demand, now: float) -> bool:
-        """Take in a report; return False if a newer one is known."""
+        """Store a report; return False if a newer one is known."""
         key = (demand.service, demand.account)
         routers = self._reports.setdefault(key, {})
         old = routers.get(router)
@@ -75,13 +76,13 @@
         return True
 
     def remove_router(self, router: ids.RouterId) -> None:
-        """Forget what a router reported."""
+        """Drop the reports of a router."""
         for key, routers in self._reports.items():
             if routers.pop(router, None) is not None:
                 self._update(key)
 
     def purge_withdrawn(self, now: float) -> None:
-        """Drop what was withdrawn long ago, to bound the memory."""
+        """Drop demands withdrawn long ago, to bound memory use."""
         for key, routers in list(self._reports.items()):
             for router, item in list(routers.items()):
                 if (
@@ -95,23 +96,23 @@
     def adjust_unused(
         self, key: sharing.Key, router: ids.RouterId, change: int
     ) -> None:
-        """Note that a grant is under way to a router, or no more."""
+        """Change the number of a router's unused grants."""
         item = self._reports.get(key, {}).get(router)
         if item is not None:
             item.unused = max(0, item.unused + change)
 
     def record_sent(self, key: sharing.Key, router: ids.RouterId) -> None:
-        """Note that a request has left the queue of a router."""
+        """Record that a request has left the queue of a router."""
         item = self._reports.get(key, {}).get(router)
         if item is not None:
             item.waiting = max(0, item.waiting - 1)
             self._update(key)
 
     def clear_waiting(self, key: sharing.Key, router: ids.RouterId) -> None:
-        """Note that a router returned a grant unused: nothing waits there.
+        """Record that a router returned a grant unused: nothing waits there.
 
-        Guards against a grant that goes to and fro, with its slot idle, until the
-        next report of the router: its last one is older than the return.
+        The router's last report is older than the return. Without this, the grant would
+        be issued again and returned until the next report, with its slot idle.
         """
         item = self._reports.get(key, {}).get(router)
         if item is not None:
@@ -119,20 +120,20 @@
             self._update(key)
 
     def count_ungranted(self, key: sharing.Key) -> int:
-        """Return the waiting requests beyond the grants under way."""
+        """Return the number of waiting requests without a grant in flight."""
         return sum(item.ungranted for item in self._reports.get(key, {}).values())
 
     def backlogged(self, service: ids.ServiceId) -> list[ids.AccountId]:
-        """Return the accounts that have requests waiting."""
+        """Return the accounts of a service with waiting requests."""
         return list(self._backlogged.get(service, ()))
 
     def is_backlogged(self, key: sharing.Key) -> bool:
-        """Return whether an account has requests waiting."""
+        """Return whether an account has waiting requests."""
         service, account = key
         return account in self._backlogged.get(service, ())
 
     def list_backlogged(self) -> frozenset[sharing.Key]:
-        """Return all (service, account) pairs that have requests waiting."""
+        """Return all (service, account) pairs with waiting requests."""
         return frozenset(
             (service, account)
             for service, accounts in self._backlogged.items()
@@ -145,7 +146,7 @@
         return max(routers, key=lambda item: (routers[item].age(now), item))
 
     def expected_cost(self, key: sharing.Key, router: ids.RouterId) -> float:
-        """Return the cost that a router expects of its requests, in cost units."""
+        """Return the request cost that a router expects, in cost units."""
         return self._reports[key][router].demand.cost_estimate
 
     def _update(self, key: sharing.Key) -> None:
