--- a/celeryspan/decisions/exchange.py
+++ b/celeryspan/decisions/exchange.py
@@ -1,13 +1,12 @@
-"""When a router must tell the homes how much service it has given.
+"""When a router reports given service and waiting requests to the homes.
 
-Load pattern: thousands of requests stream at once; telling each step would cost more
-than the requests, telling nothing would make each home fair on its own only.
+Thousands of requests stream at once. Reporting each step would cost more than the
+requests. Without reports a home would not see the service given through other homes,
+would be fair only within its own servers, and the gap would grow with the number of
+homes.
 
-Without it an account's service through other homes stays unseen, and the gap grows
-with the number of homes.
-
-Two rules stand in a registry: a fixed period, and a bound of k units of unreported
-service of accounts that are backlogged. ``docs/design/exchange.md`` holds the figures.
+Two rules are registered: a fixed period, and a threshold of k units of unreported
+service of backlogged accounts. ``docs/design/exchange.md`` has the measurements.
 """
 
 from __future__ import annotations
@@ -22,32 +21,32 @@
     from celeryspan import ids
     from celeryspan.decisions import sharing
 
-# Seconds between two reports of one account under the fixed period.
+# Time between two reports of one account under the fixed period rule.
 REPORT_PERIOD_SECONDS = 0.5
 
-# Unreported cost units of one account under the bound: half a mean request of a
-# language model. At 500 the gap grew by a fifth, at 2,000 it grew to 2.7 times, while
-# counters are a third of all control traffic at 200 already.
+# Unreported cost units of one account under the threshold rule: half a mean request of
+# a language model. At 500 the gap grew by a fifth and at 2,000 to 2.7 times, while at
+# 200 counters are already only a third of all control traffic.
 MAX_UNREPORTED_UNITS = 200.0
 
-# Each account is told at least this often, so that a home that has lost its state or
-# a message learns what an idle account has received.
+# Maximum time between reports of an account that has received service, so that a home
+# that lost its state or a message learns about idle accounts too.
 REFRESH_SECONDS = 5.0
 
 
-# Seconds in which changes of a queue that is known to wait are put together.
+# Time over which changes of a queue already known to be waiting are batched.
 DEMAND_BATCH_SECONDS = 0.1
 
-# Seconds in which the first home may grant before all are told: two round trips
-# between data centres.
+# Time for the first home to grant before all homes are told: two round trips between
+# data centres.
 ESCALATE_SECONDS = 0.005
 
-# Seconds after which a sample of homes that granted nothing is replaced.
+# Time after which a sample of homes that granted nothing is replaced.
 RESAMPLE_SECONDS = 0.1
 
 
 class Stage(enum.Enum):
-    """How widely the demand of an account is told."""
+    """Which homes are told about the demand of an account."""
 
     NONE = "none"
     ONE = "one"
@@ -55,10 +54,10 @@
 
 
 class Rule(Protocol):
-    """Decides which accounts are due."""
+    """Decides which accounts to report."""
 
     def is_due(self, unreported: float, age: float, contended: bool) -> bool:
-        """Return whether an account must be told.
+        """Return whether an account must be reported.
 
         Parameters
         ----------
@@ -67,7 +66,8 @@
         age : float
             Seconds since the last report.
         contended : bool
-            Whether the account is backlogged at a home, so that its service competes.
+            Whether the account is backlogged at a home, so that its service competes
+            with that of others.
         """
 
 
@@ -75,7 +75,7 @@
 
 
 def register(name: str) -> Callable[[Callable[[float], Rule]], Callable[[float], Rule]]:
-    """Enter a rule under a name."""
+    """Register a rule under a name."""
 
     def enter(maker: Callable[[float], Rule]) -> Callable[[float], Rule]:
         RULES[name] = maker
@@ -86,32 +86,38 @@
 
 @register("period")
 class PeriodicRule:
-    """Tell each account once per period, in seconds."""
+    """Reports each account once per period, in seconds."""
 
     def __init__(self, seconds: float = REPORT_PERIOD_SECONDS) -> None:
         self._seconds = seconds
 
     def is_due(self, unreported: float, age: float, contended: bool) -> bool:
-        """Return whether the period is over."""
+        """Return whether the period has ended and there is service to report."""
         return unreported > 0.0 and age >= self._seconds
 
 
 @register("units")
 class ThresholdRule:
-    """Tell an account when its contended unreported service exceeds k cost units."""
+    """Reports an account when its unreported contended service exceeds a threshold.
+
+    Parameters
+    ----------
+    units : float
+        Threshold in cost units.
+    """
 
     def __init__(self, units: float = MAX_UNREPORTED_UNITS) -> None:
         self._units = units
 
     def is_due(self, unreported: float, age: float, contended: bool) -> bool:
-        """Return whether the bound is passed, or the refresh is due."""
+        """Return whether the threshold is exceeded or a refresh is due."""
         if contended and unreported > self._units:
             return True
         return unreported > 0.0 and age >= REFRESH_SECONDS
 
 
 class CounterReporter:
-    """Remembers what was told and finds what must be told next."""
+    """Tracks reported counters and finds those to report next."""
 
     def __init__(self, rule: Rule) -> None:
         self._rule = rule
@@ -123,16 +129,16 @@
         backlogged: Collection[sharing.Key] | None,
         now: float,
     ) -> tuple[sharing.Key, ...]:
-        """Return the (service, account) pairs to tell now, and count them as told.
+        """Return the (service, account) pairs to report now, and mark them as reported.
 
         Parameters
         ----------
         units : dict
-            This router's own growing counters, in cost units.
+            This router's own monotonic counters, in cost units.
         backlogged : collection or None
-            Pairs that wait anywhere; None if that is not known, so that the service
-            of every account may collide. A router that is home of no server of a
-            service does not know: with its own view alone it told nothing for
+            Pairs with waiting requests anywhere. None if unknown: then every account
+            counts as contended. A router that is home of no server of a service does
+            not know; using only its own view it reported nothing for
             ``REFRESH_SECONDS`` and the gap grew sixfold.
         now : float
             Monotonic seconds.
@@ -147,12 +153,12 @@
         return tuple(due)
 
     def forget(self, service: ids.ServiceId | None = None) -> None:
-        """Tell everything again: a home is new or has lost its state.
+        """Report everything again: a home is new or has lost its state.
 
         Parameters
         ----------
         service : ServiceId or None
-            Only the accounts of one service, or of all.
+            Limits this to the accounts of one service.
         """
         for key in list(self._reported):
             if service is None or key[0] == service:
@@ -160,16 +166,17 @@
 
 
 class DemandReporter:
-    """Decides which homes must hear how much waits at this router, and when.
+    """Decides which homes are told how many requests wait at this router, and when.
 
-    What a home believes is followed here: the last report less the requests sent with
-    its grants. A home is told at once when it believes that nothing waits and
-    something does, or the reverse; other changes wait for ``DEMAND_BATCH_SECONDS``.
+    Tracks what each home knows: the last report minus the requests sent with its
+    grants. A home is told at once when the queue becomes empty or non-empty in its
+    view; other changes are batched for ``DEMAND_BATCH_SECONDS``.
 
-    A request that finds its account without a queue is told to one home only. If that
-    one grants nothing within ``ESCALATE_SECONDS``, all homes hear (a sample of them in
-    a large service, renewed each ``RESAMPLE_SECONDS``). Telling all at once would make
-    each home with a free slot grant one, and all but one of these would come back.
+    A request that finds the queue of its account empty is reported to one home first.
+    If that home grants nothing within ``ESCALATE_SECONDS``, all homes are told (in a
+    large service a sample of them, replaced every ``RESAMPLE_SECONDS``). If all were
+    told at once, each home with a free slot would grant one, and all but one of these
+    grants would come back unused.
     """
 
     def __init__(self) -> None:
@@ -177,7 +184,7 @@
         self._waiting_since: dict[sharing.Key, float] = {}
 
     def find_stage(self, key: sharing.Key, waiting: int, now: float) -> Stage:
-        """Return how widely the demand of an account is to be told now."""
+        """Return which homes are to be told about the demand of an account now."""
         if not waiting:
             self._waiting_since.pop(key, None)
             return Stage.NONE
@@ -185,28 +192,28 @@
         return Stage.ONE if now < since + ESCALATE_SECONDS else Stage.ALL
 
     def find_sample_number(self, key: sharing.Key, now: float) -> int:
-        """Return the number of the sample; it grows while nothing is granted."""
+        """Return the number of the sample; it increases while nothing is granted."""
         return int((now - self._waiting_since.get(key, now)) / RESAMPLE_SECONDS)
 
     def is_urgent(self, key: sharing.Key, home: ids.RouterId, waiting: int) -> bool:
-        """Return whether a home must hear at once."""
+        """Return whether a home must be told at once."""
         return (self.reported_waiting(key, home) > 0) != (waiting > 0)
 
     def reported_waiting(self, key: sharing.Key, home: ids.RouterId) -> int:
-        """Return how many requests a home believes to wait here."""
+        """Return how many waiting requests a home knows of."""
         return self._reported.get(key, {}).get(home, 0)
 
     def informed_homes(self, key: sharing.Key) -> tuple[ids.RouterId, ...]:
-        """Return the homes that believe something waits here."""
+        """Return the homes that know of waiting requests."""
         reported = self._reported.get(key, {})
         return tuple(home for home, count in reported.items() if count)
 
     def record_report(self, key: sharing.Key, home: ids.RouterId, waiting: int) -> None:
-        """Note that a home was told."""
+        """Record that a home was told how many requests wait."""
         self._reported.setdefault(key, {})[home] = waiting
 
     def record_use(self, key: sharing.Key, home: ids.RouterId, now: float) -> None:
-        """Note that a request was sent with a home's grant."""
+        """Record that a request was sent with a home's grant."""
         self.record_report(key, home, max(0, self.reported_waiting(key, home) - 1))
         if key in self._waiting_since:
             self._waiting_since[key] = max(
--- a/tests/decisions/test_exchange.py
+++ b/tests/decisions/test_exchange.py
@@ -1,4 +1,4 @@
-"""When counters and demand are told."""
+"""When counters and demand are reported."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 HOME = ids.RouterId("router-1")
 
 
-def test_account_is_told_once_its_unreported_service_passes_the_bound() -> None:
-    found = exchange.CounterReporter(exchange.ThresholdRule(200.0))
-    assert found.find_due({KEY: 10.0}, None, 0.0) == (KEY,)
-    assert found.find_due({KEY: 210.0}, None, 0.1) == ()
-    assert found.find_due({KEY: 211.0}, None, 0.2) == (KEY,)
-    assert found.find_due({KEY: 212.0}, None, 0.3) == ()
+def test_account_is_reported_once_it_exceeds_the_threshold() -> None:
+    reporter = exchange.CounterReporter(exchange.ThresholdRule(200.0))
+    assert reporter.find_due({KEY: 10.0}, None, 0.0) == (KEY,)
+    assert reporter.find_due({KEY: 210.0}, None, 0.1) == ()
+    assert reporter.find_due({KEY: 211.0}, None, 0.2) == (KEY,)
+    assert reporter.find_due({KEY: 212.0}, None, 0.3) == ()
 
 
-def test_service_that_collides_with_nobody_waits_for_the_refresh() -> None:
-    found = exchange.CounterReporter(exchange.ThresholdRule(200.0))
-    found.find_due({KEY: 1.0}, frozenset(), 0.0)
-    assert found.find_due({KEY: 900.0}, frozenset(), 1.0) == ()
-    assert found.find_due({KEY: 900.0}, {KEY}, 1.0) == (KEY,)
+def test_uncontended_service_waits_for_the_refresh() -> None:
+    reporter = exchange.CounterReporter(exchange.ThresholdRule(200.0))
+    reporter.find_due({KEY: 1.0}, frozenset(), 0.0)
+    assert reporter.find_due({KEY: 900.0}, frozenset(), 1.0) == ()
+    assert reporter.find_due({KEY: 900.0}, {KEY}, 1.0) == (KEY,)
     later = 1.0 + exchange.REFRESH_SECONDS
-    assert found.find_due({KEY: 901.0}, frozenset(), later) == (KEY,)
+    assert reporter.find_due({KEY: 901.0}, frozenset(), later) == (KEY,)
 
 
-def test_period_tells_what_changed() -> None:
-    found = exchange.CounterReporter(exchange.PeriodicRule(0.5))
-    assert found.find_due({KEY: 1.0}, None, 0.0) == (KEY,)
-    assert found.find_due({KEY: 900.0}, None, 0.4) == ()
-    assert found.find_due({KEY: 900.0}, None, 0.5) == (KEY,)
-    assert found.find_due({KEY: 900.0}, None, 2.0) == ()
+def test_periodic_rule_reports_changes() -> None:
+    reporter = exchange.CounterReporter(exchange.PeriodicRule(0.5))
+    assert reporter.find_due({KEY: 1.0}, None, 0.0) == (KEY,)
+    assert reporter.find_due({KEY: 900.0}, None, 0.4) == ()
+    assert reporter.find_due({KEY: 900.0}, None, 0.5) == (KEY,)
+    assert reporter.find_due({KEY: 900.0}, None, 2.0) == ()
 
 
-def test_new_home_is_told_everything() -> None:
-    found = exchange.CounterReporter(exchange.ThresholdRule(200.0))
-    found.find_due({KEY: 10.0}, None, 0.0)
-    found.forget(KEY[0])
-    assert found.find_due({KEY: 10.0}, None, 0.1) == (KEY,)
+def test_all_counters_are_reported_to_a_new_home() -> None:
+    reporter = exchange.CounterReporter(exchange.ThresholdRule(200.0))
+    reporter.find_due({KEY: 10.0}, None, 0.0)
+    reporter.forget(KEY[0])
+    assert reporter.find_due({KEY: 10.0}, None, 0.1) == (KEY,)
 
 
-def test_first_request_asks_one_home_and_then_all() -> None:
+def test_first_request_is_reported_to_one_home_and_then_to_all() -> None:
     demands = exchange.DemandReporter()
     assert demands.find_stage(KEY, 0, 1.0) is exchange.Stage.NONE
     assert demands.find_stage(KEY, 1, 1.0) is exchange.Stage.ONE
@@ -53,13 +53,13 @@
 
 
 @pytest.mark.parametrize("waiting", [0, 1])
-def test_home_is_told_at_once_when_it_believes_something_false(waiting: int) -> None:
+def test_home_is_told_at_once_when_its_view_is_wrong(waiting: int) -> None:
     demands = exchange.DemandReporter()
     demands.record_report(KEY, HOME, 1 - waiting)
     assert demands.is_urgent(KEY, HOME, waiting)
 
 
-def test_belief_follows_the_requests_sent() -> None:
+def test_reported_waiting_follows_the_requests_sent() -> None:
     demands = exchange.DemandReporter()
     demands.find_stage(KEY, 2, 1.0)
     demands.record_report(KEY, HOME, 2)
