--- a/celeryspan/decisions/grants.py
+++ b/celeryspan/decisions/grants.py
@@ -1,15 +1,14 @@
-"""The ledger of a home: who holds which slot, and who gets the next one.
+"""Slot allocation by a home: which account and router get the next free slot.
 
-Load pattern: more requests wait than slots exist, spread unevenly over routers; slots
-fall free one at a time, in an order that nobody knows beforehand.
+A home is the router that grants the slots of a backend server. More requests wait than
+there are slots, spread unevenly over routers, and slots become free one at a time in an
+unpredictable order. If routers bound requests to servers early, requests would wait
+there while other servers idle, and a large account would take every slot.
 
-Without it a router would bind a request to a server early, and the request would wait
-there while other servers idle; and a large account would take every slot.
-
-The home binds late: when a slot is free, it goes to the account with the least
-standing, and within the account to the router that has waited longest. An account
-holds at most ``CAP_FRACTION`` of the home's slots of a service while others wait, so
-that a newcomer waits for the end of one request in the other part at most.
+The home binds late. A free slot goes to the account with the lowest standing and,
+within the account, to the router that has waited longest. While others wait, an account
+holds at most ``CAP_FRACTION`` of the home's slots of a service, so a new account waits
+at most for one request in the other slots to end.
 """
 
 from __future__ import annotations
@@ -27,36 +26,37 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-# Seconds in which a grant must be used. Longer than any round trip between data
-# centres with one retransmission, shorter than a tenth of a mean request.
+# Time within which a grant must be used: longer than a round trip between data centres
+# with one retransmission, shorter than a tenth of a mean request.
 VALID_SECONDS = 1.0
 
-# Seconds that the home waits beyond the validity before it gives the slot away: the
-# router counts from receipt, and its message that the grant is used travels as long.
+# Time added to the validity before the home reuses the slot: the router counts from
+# receipt, and its message that the grant is used takes as long to arrive.
 GRACE_SECONDS = 0.5
 
-# Seconds in which a new home waits for the routers to say which slots they hold. A
-# router that is alive answers within one round trip; one that died never will.
+# Time that a new home waits for the routers to report the slots they hold. A live
+# router answers within one round trip, a dead one never.
 RECOVERY_SECONDS = 0.5
 
-# Seconds for which a new home of a service lifts nobody. It hears of accounts that have
-# waited elsewhere all along, and of their service one message after the other: lifting
-# by half of that moved accounts by all they had ever received (gap of 107,452 units
-# after one restart), and lifts cannot be taken back.
+# Time during which a new home of a service lifts no account. It receives reports of
+# accounts that have long been waiting, and the service they received, in separate
+# messages. Lifting on partial data moved accounts by all they had ever received (a gap
+# of 107,452 units after one restart), and lifts cannot be reverted.
 LIFT_WARMUP_SECONDS = 1.0
 
-# Greatest part of a home's slots of one service for one account while others wait.
+# Maximum share of a home's slots of one service for one account while others wait.
 CAP_FRACTION = 0.5
 
-# What an account may be owed, in greatest settled costs per weight. Without a partition
-# two accounts differ by one to one and a half, so that it does not interfere; after one
-# the foremost waits for at most 50 s at today's sizes instead of 100 s at four. In the
-# replay the gap is the same within its noise for all bounds from 0.5 to none.
+# Maximum deficit of an account, in maximum request costs per weight. Without a
+# partition two accounts differ by 1 to 1.5, so the limit has no effect. After one, the
+# account that is ahead waits at most 50 s at current fleet sizes, against 100 s with a
+# limit of 4. The replay shows the same gap, within noise, for all limits from 0.5 to
+# none.
 MAX_DEFICIT_COSTS = 2.0
 
 
 class IssuedGrant(msgspec.Struct, frozen=True):
-    """A grant and the router that it must be sent to."""
+    """A grant and the router to send it to."""
 
     router: ids.RouterId
     grant: messages.Grant
@@ -68,9 +68,13 @@
     Parameters
     ----------
     router, incarnation
-        Whose ledger this is; makes the numbers of its grants unique.
+        Owner of the ledger; makes the numbers of its grants unique.
     counters : Counters
-        Service received by each account, as this router knows it.
+        Service received by each account, as known to this router.
+    max_deficit_costs : float
+        Limit on the deficit of an account, in maximum request costs per weight.
+    cap_fraction : float
+        Maximum share of the slots of a service for one account while others wait.
     """
 
     def __init__(
@@ -83,7 +87,7 @@
         cap_fraction: float = CAP_FRACTION,
     ) -> None:
         self._counters = counters
-        self._owed_costs = max_deficit_costs
+        self._max_deficit_costs = max_deficit_costs
         self._cap_fraction = cap_fraction
         name = f"{router}/{incarnation}".encode()
         self._next_grant = xxhash.xxh32_intdigest(name) << 32
@@ -103,13 +107,13 @@
         now: float,
         awaited: Collection[ids.RouterId] = (),
     ) -> None:
-        """Become home of a server.
+        """Start to act as home of a server.
 
         Parameters
         ----------
         awaited : collection of RouterId
-            Routers that may hold slots under the previous home. Nothing is granted
-            before each has sent ``SlotsHeld`` or ``RECOVERY_SECONDS`` have passed.
+            Routers that may hold slots granted by the previous home. Nothing is granted
+            until each has sent ``SlotsHeld`` or ``RECOVERY_SECONDS`` have passed.
         """
         if service not in self._slots.services():
             self._serving_since[service] = now
@@ -118,11 +122,11 @@
         )
 
     def set_window(self, server: ids.ServerId, window: int) -> None:
-        """Change how many slots of a server may be in use; 0 grants nothing more."""
+        """Set how many slots of a server may be in use; 0 stops new grants."""
         self._slots.servers[server].window = window
 
     def remove_server(self, server: ids.ServerId) -> None:
-        """Stop being home; the next home learns from the routers what they hold."""
+        """Stop acting as home; the next home learns from the routers what they hold."""
         entry = self._slots.servers.get(server)
         if entry is None:
             return
@@ -139,7 +143,7 @@
         return self._slots.servers[server].window
 
     def in_use(self, server: ids.ServerId) -> int:
-        """Return the slots of a server that are granted or used."""
+        """Return how many slots of a server are granted or used."""
         return len(self._slots.servers[server].held)
 
     def backlogged(self) -> frozenset[sharing.Key]:
@@ -149,10 +153,10 @@
     def update_demand(
         self, router: ids.RouterId, demand: messages.Demand, now: float
     ) -> None:
-        """Take in what waits at a router; an older report than the last is ignored.
+        """Apply a router's report of waiting requests, unless a newer one is known.
 
-        Sequences are those of one incarnation: call :meth:`forget_router` before the
-        first report of the next one.
+        Sequence numbers belong to one incarnation: call :meth:`forget_router` before
+        the first report of the next one.
         """
         key = (demand.service, demand.account)
         others = self._demands.backlogged(demand.service)
@@ -167,7 +171,7 @@
             self._lift(key, others)
 
     def forget_router(self, router: ids.RouterId) -> None:
-        """Free what a router held and waited for: it died, left or was cut off."""
+        """Free a router's slots and drop its demand: it died, left or was cut off."""
         self._demands.remove_router(router)
         for entry in self._slots.servers.values():
             entry.awaited.discard(router)
@@ -177,10 +181,10 @@
     def set_held(
         self, router: ids.RouterId, held: messages.SlotsHeld, now: float
     ) -> None:
-        """Replace what is known of the slots that a router uses of one server.
+        """Replace the known slots that a router uses of one server.
 
-        Grants that the router has not yet used stay as they are: its message may have
-        left before they arrived.
+        Unused grants stay as they are: the router may have sent its message before they
+        arrived.
         """
         entry = self._slots.servers.get(held.server)
         if entry is None:
@@ -197,10 +201,10 @@
     def mark_used(
         self, router: ids.RouterId, message: messages.GrantUsed, now: float
     ) -> None:
-        """Note that a request was sent.
+        """Record that a request was sent with a grant.
 
-        A grant that is not known here was issued by the previous home of the server,
-        or has expired: the slot is in use all the same, so it is counted.
+        An unknown grant was issued by the previous home of the server, or has expired.
+        Its slot is in use nevertheless and is counted.
         """
         entry = self._slots.servers.get(message.server)
         if entry is None:
@@ -219,11 +223,11 @@
     def end_grant(
         self, router: ids.RouterId, message: messages.GrantEnded, now: float
     ) -> None:
-        """Free a slot; a doubled message changes nothing.
+        """Free the slot of a grant; a duplicate message has no effect.
 
-        After a take-over the ledger knows slots by router and account only, so any
-        of these is freed for a grant that it does not know. A grant that comes back
-        unused says that nothing waits; a router that knows better reports again.
+        After a takeover the ledger knows slots only by router and account, so an
+        unknown grant frees any matching slot. A grant returned unused means that
+        nothing waits at the router; if something does, the router reports it again.
         """
         entry = self._slots.servers.get(message.server)
         if entry is None:
@@ -241,7 +245,7 @@
         self._release(entry, held)
 
     def expire(self, now: float) -> tuple[ids.GrantId, ...]:
-        """Free the slots of grants that were not used in time; return the grants."""
+        """Free the slots of grants that were not used in time; return these grants."""
         expired = []
         for entry in self._slots.servers.values():
             for held in [item for item in entry.held if item.expires_at <= now]:
@@ -252,29 +256,29 @@
         return tuple(expired)
 
     def issue(self, now: float) -> list[IssuedGrant]:
-        """Grant the free slots to whoever is served next."""
+        """Grant the free slots in order of standing."""
         issued = []
-        # Most calls find every slot taken: the few servers are looked at first, the
-        # many accounts only for what has a free slot.
+        # Most calls find no free slot: check the few servers first, and the many
+        # accounts only for services with a free slot.
         for service in self._slots.services_with_free_slots(now):
             issued += self._issue_service(service, now)
         return issued
 
     def pop_lifts(self) -> list[messages.Lift]:
-        """Return the lifts decided since the last call, to be told to other homes."""
+        """Return the lifts decided since the last call, to send to the other homes."""
         lifts, self._lifts = self._lifts, []
         return lifts
 
     def pop_pending(self) -> list[messages.Pending]:
-        """Return the slots held where they changed since the last call."""
+        """Return the charges of held slots that changed since the last call."""
         return self._make_pending(self._slots.pop_changed())
 
     def list_pending(self) -> list[messages.Pending]:
-        """Return all slots held: for a home that is new or has lost its state."""
+        """Return the charges of all held slots, for a home without state."""
         return self._make_pending(self._slots.list_holders())
 
     def held(self, service: ids.ServiceId, account: ids.AccountId) -> int:
-        """Return the slots that an account holds under this ledger's grants."""
+        """Return how many slots an account holds under this ledger's grants."""
         return self._slots.count_held(service, account)
 
     def _issue_service(self, service: ids.ServiceId, now: float) -> list[IssuedGrant]:
@@ -352,11 +356,11 @@
             self._lifts.append(lift)
 
     def _limit_deficits(self, service: ids.ServiceId) -> None:
-        greatest = self._slot_charge.max_cost(service)
-        if greatest:
-            owed = self._owed_costs * greatest
+        max_cost = self._slot_charge.max_cost(service)
+        if max_cost:
+            limit = self._max_deficit_costs * max_cost
             backlogged = self._demands.backlogged(service)
-            self._lifts += self._counters.limit_deficits(service, backlogged, owed)
+            self._lifts += self._counters.limit_deficits(service, backlogged, limit)
 
     def _release(self, entry: slots.ServerSlots, held: slots.AllocatedSlot) -> None:
         self._slots.release(entry, held)
