--- a/celeryspan/decisions/sharing.py
+++ b/celeryspan/decisions/sharing.py
@@ -1,18 +1,17 @@
-"""Service received by each client account, over the whole fleet.
-
-Load pattern: some client accounts are backlogged for minutes on several routers at
-once, others come and go, and the cost of a request is known only when it ends.
-
-Without it each router would be fair among its own callers only: an account that
-sits on one router would get a sixth of what an account on six routers gets.
-
-Each router counts the service that streams through it in numbers that only grow, one
-for each (incarnation, service, account). They merge by maximum, so that a late,
-doubled or reordered message changes nothing. An account's standing is what it has
-received plus one charge for each slot that it holds, divided by its weight. The charge
-is the same for all accounts of a service: slots stream at one speed, so equal slots
-keep the service equal, while estimates of single requests only bring noise (measured:
-a gap of 4,098 units instead of 9,006; see ``docs/design/sharing.md``).
+"""Service received by each client account across the fleet.
+
+Some accounts are backlogged for minutes on several routers at once, others come and go,
+and the cost of a request is known only when it ends. If each router balanced only its
+own callers, an account on one router would get a sixth of the service of an account on
+six routers.
+
+Each router counts the service that streams through it in monotonic counters, one per
+incarnation, service and account. Counters merge by maximum, so late, duplicate or
+reordered messages have no effect. The standing of an account is the service it has
+received plus one charge for each slot it holds, divided by its weight. All accounts of
+a service pay the same charge: slots stream at one speed, so equal slots keep the
+service equal, while estimates for single requests only add noise (a service gap of
+4,098 units with equal charges, 9,006 with estimates; see ``docs/design/sharing.md``).
 """
 
 from __future__ import annotations
@@ -28,8 +27,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-# A tenth of each new cost enters the learned mean: about the last ten requests count,
-# few enough to follow an account that changes its work within a minute.
+# Weight of each new cost in the mean, about a 10-request average: follows an account
+# that changes its workload within a minute.
 LEARNING_RATE = 0.1
 
 
@@ -41,14 +40,14 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Everything that a router without state must learn from one peer.
+    """The state that a router without state needs from one peer.
 
     Attributes
     ----------
     folded : dict
-        Units of incarnations that are gone, in one sum for each service and account.
+        Units of incarnations that are gone, summed per service and account.
     gone : dict
-        The highest incarnation of each router that is contained in ``folded``.
+        The highest incarnation of each router that ``folded`` includes.
     """
 
     counters: tuple[messages.Counter, ...]
@@ -58,12 +57,12 @@
 
 
 class Counters:
-    """What one router knows about the service that every account has received.
+    """Service received by every account, as known to one router.
 
     Parameters
     ----------
     router, incarnation
-        Whose own service :meth:`give` counts.
+        Source of the service counted by :meth:`record_service`.
     weight_of : callable
         Returns the weight of a client account.
     """
@@ -95,11 +94,11 @@
         return tuple(self._iter_counters(self._own))
 
     def own_units(self, service: ids.ServiceId, account: ids.AccountId) -> float:
-        """Return what streamed through this incarnation, in cost units."""
+        """Return the service streamed through this incarnation, in cost units."""
         return self._units[self._own].get((service, account), 0.0)
 
     def merge(self, counter: messages.Counter) -> bool:
-        """Take in a counter of any router; return whether it told something new."""
+        """Merge a counter of any router; return whether it changed anything."""
         source = (counter.router, counter.incarnation)
         if source == self._own or self._is_folded(source):
             return False
@@ -107,7 +106,7 @@
         return self._increase(source, key, counter.units, add=False)
 
     def merge_lift(self, lift: Lift) -> bool:
-        """Take in a lift that another home decided."""
+        """Merge a lift decided by another home; return whether it changed anything."""
         key = (lift.service, lift.account)
         if lift.level <= self._lifts.get(key, 0.0):
             return False
@@ -115,7 +114,10 @@
         return True
 
     def merge_pending(self, home: ids.RouterId, pending: Pending) -> bool:
-        """Take in what is in progress under the grants of another home."""
+        """Merge the charge for slots held under another home's grants.
+
+        Returns False if a newer one is known.
+        """
         key = (pending.service, pending.account)
         known = self._pending.setdefault(home, {})
         old = known.get(key)
@@ -127,7 +129,7 @@
         return True
 
     def forget_pending(self, home: ids.RouterId) -> None:
-        """Drop what a home had in progress: it left, died or was cut off."""
+        """Drop the charges of a home that left, died or was cut off."""
         for key, pending in self._pending.pop(home, {}).items():
             self._pending_totals[key] -= pending.units
 
@@ -136,11 +138,11 @@
         return tuple(self._totals)
 
     def received(self, service: ids.ServiceId, account: ids.AccountId) -> float:
-        """Return the service received since the fleet began, in cost units."""
+        """Return the service received since the fleet started, in cost units."""
         return self._totals.get((service, account), 0.0)
 
     def level(self, service: ids.ServiceId, account: ids.AccountId) -> float:
-        """Return service received and lift, in cost units per weight."""
+        """Return service received plus lift, in cost units per weight."""
         key = (service, account)
         units = self._totals.get(key, 0.0)
         return units / self._weight_of(account) + self._lifts.get(key, 0.0)
@@ -151,12 +153,12 @@
         account: ids.AccountId,
         in_progress: float = 0.0,
     ) -> float:
-        """Return the key by which a home chooses: the least is served next.
+        """Return the key by which a home orders accounts; the lowest is served next.
 
         Parameters
         ----------
         in_progress : float
-            Charge for the slots under the caller's own grants, in cost units.
+            Charge for the slots held under the caller's own grants, in cost units.
         """
         pending = self._pending_totals.get((service, account), 0.0) + in_progress
         return self.level(service, account) + pending / self._weight_of(account)
@@ -168,48 +170,51 @@
         backlogged: Iterable[ids.AccountId],
         floor: float = 0.0,
     ) -> Lift | None:
-        """Lift an account that becomes backlogged to the least of the backlogged.
+        """Lift a newly backlogged account to the lowest backlogged level.
 
-        Guards against saved credit: an account that was idle for an hour would
-        otherwise take every slot until it has caught up with that hour.
+        Otherwise an account that was idle for an hour would take every slot until it
+        has caught up with that hour.
 
         Parameters
         ----------
         floor : float
-            Used when nobody else is backlogged: the highest level at which an account
-            was served, in cost units per weight.
+            Level used when no other account is backlogged: the highest level at which
+            an account was served, in cost units per weight.
         """
         levels = [self.level(service, other) for other in backlogged]
         return self._raise_level(service, account, min(levels, default=floor))
 
     def limit_deficits(
-        self, service: ids.ServiceId, backlogged: Iterable[ids.AccountId], owed: float
+        self,
+        service: ids.ServiceId,
+        backlogged: Iterable[ids.AccountId],
+        max_deficit: float,
     ) -> list[Lift]:
-        """Bound what is owed: lift who is more than ``owed`` behind the foremost.
+        """Lift accounts that are more than ``max_deficit`` behind the leading one.
 
-        Guards against starvation by justice: while two parts of a fleet did not hear
-        each other, one account may have got far ahead. Unbounded, it would then wait
-        until all others had caught up. With the bound it waits for at most ``owed``
-        times the weights of the others divided by the capacity of the service.
+        While a network partition lasts, one account may get far ahead. Without a limit
+        it would then wait until all others have caught up. With the limit it waits at
+        most ``max_deficit`` times the weights of the others divided by the capacity of
+        the service.
 
         Parameters
         ----------
-        owed : float
+        max_deficit : float
             In cost units per weight.
         """
         accounts = list(backlogged)
-        if len(accounts) < 2 or math.isinf(owed):
+        if len(accounts) < 2 or math.isinf(max_deficit):
             return []
-        floor = max(self.level(service, account) for account in accounts) - owed
+        floor = max(self.level(service, account) for account in accounts) - max_deficit
         lifts = (self._raise_level(service, account, floor) for account in accounts)
         return [lift for lift in lifts if lift is not None]
 
     def fold(self, router: ids.RouterId, incarnation: ids.Incarnation) -> None:
-        """Keep only the sum of an incarnation that is gone for good.
+        """Reduce the counters of an ended incarnation to their sum.
 
-        Bounds the memory: without it each restart of a router would leave a number
-        for each account behind. Messages of the folded incarnation are ignored from
-        then on, so nothing is counted twice.
+        Bounds memory use: otherwise each restart of a router would leave a counter for
+        each account behind. Later messages of a folded incarnation are ignored, so
+        nothing is counted twice.
         """
         if self._is_folded((router, incarnation)):
             return
@@ -219,7 +224,7 @@
                 self._folded[key] = self._folded.get(key, 0.0) + units
 
     def snapshot(self) -> Snapshot:
-        """Return what a router that starts without state must know."""
+        """Return the state that a router without state needs."""
         counters = [
             item for source in self._units for item in self._iter_counters(source)
         ]
@@ -229,10 +234,10 @@
         )
 
     def load_snapshot(self, snapshot: Snapshot) -> None:
-        """Begin from the knowledge of a peer; later ones than the first are merged.
+        """Load the first snapshot of a peer; merge later ones.
 
-        Sums of folded incarnations cannot be merged, so they are taken from one peer
-        only, the first.
+        Sums of folded incarnations cannot be merged, so they are taken from the first
+        peer only.
         """
         if not self._gone and snapshot.gone:
             self._gone = dict(snapshot.gone)
@@ -281,10 +286,11 @@
 
 
 class CostEstimator:
-    """Learns what requests of an account cost, because hints are off by threefold.
+    """Estimates request costs per account, because hints are off by a factor of three.
 
-    Without a settled request of the account the hint counts, and without a hint the
-    service's typical cost. Only waiting times are foretold with it, see the module.
+    Uses the hint until a request of the account has ended, and the typical cost of the
+    service if there is no hint. Estimates serve only to predict waiting times, not to
+    compute standings; see the module documentation.
     """
 
     def __init__(self) -> None:
@@ -293,7 +299,7 @@
     def record_cost(
         self, service: ids.ServiceId, account: ids.AccountId, cost: float
     ) -> None:
-        """Learn from the true cost of a request that ended, in cost units."""
+        """Record the true cost of a completed request, in cost units."""
         key = (service, account)
         mean = self._means.get(key, cost)
         self._means[key] = mean + LEARNING_RATE * (cost - mean)
@@ -305,7 +311,7 @@
         hint: float | None,
         typical: float,
     ) -> float:
-        """Return the cost to expect, in cost units."""
+        """Return the expected cost, in cost units."""
         mean = self._means.get((service, account))
         if mean is not None:
             return mean
--- a/tests/decisions/test_sharing.py
+++ b/tests/decisions/test_sharing.py
@@ -1,4 +1,4 @@
-"""Counters agree whatever happens to the messages that carry them."""
+"""Counters converge whatever happens to the messages that carry them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class CountersMachine(stateful.RuleBasedStateMachine):
-    """Three routers count; each message may be lost, doubled, late or reordered."""
+    """Three routers exchange counters over an unreliable network."""
 
     def __init__(self) -> None:
         super().__init__()
         self.routers = [make_counters(f"router-{index}") for index in range(3)]
         self.given = dict.fromkeys(ACCOUNTS, 0.0)
-        self.under_way: list[tuple[int, messages.Counter]] = []
+        self.in_flight: list[tuple[int, messages.Counter]] = []
 
     @stateful.rule(
         router=strategies.integers(0, 2),
@@ -40,26 +40,26 @@
 
     @stateful.rule(source=strategies.integers(0, 2), other=strategies.integers(0, 2))
     def send(self, source: int, other: int) -> None:
-        self.under_way += [
+        self.in_flight += [
             (other, item) for item in self.routers[source].own_counters()
         ]
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_flight)
     @stateful.rule(data=strategies.data(), keep=strategies.booleans())
     def deliver(self, data: strategies.DataObject, keep: bool) -> None:
-        index = data.draw(strategies.integers(0, len(self.under_way) - 1))
-        target, item = self.under_way[index]
+        index = data.draw(strategies.integers(0, len(self.in_flight) - 1))
+        target, item = self.in_flight[index]
         self.routers[target].merge(item)
         if not keep:
-            del self.under_way[index]
+            del self.in_flight[index]
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_flight)
     @stateful.rule(data=strategies.data())
     def lose(self, data: strategies.DataObject) -> None:
-        del self.under_way[data.draw(strategies.integers(0, len(self.under_way) - 1))]
+        del self.in_flight[data.draw(strategies.integers(0, len(self.in_flight) - 1))]
 
     @stateful.invariant()
-    def nobody_counts_more_than_was_given(self) -> None:
+    def no_router_counts_more_than_was_given(self) -> None:
         for router in self.routers:
             for account, units in self.given.items():
                 assert router.received(SERVICE, account) <= units
@@ -78,10 +78,10 @@
 
 
 def test_idle_account_saves_no_credit() -> None:
-    """An airline that was idle all night floods in the morning.
+    """Guards against an idle account that accumulates credit.
 
-    The others have received 9,000 units by then. Without a lift the airline would
-    take every slot until it has caught up; its users are served, all others wait.
+    The other accounts have received 9,000 units while it was idle. Without a lift it
+    would take every slot until it has caught up.
     """
     counters = make_counters("router-0")
     counters.record_service(SERVICE, HANDLER, 9000.0)
@@ -92,17 +92,18 @@
     assert counters.lift(SERVICE, AIRLINE, [HANDLER, TOWER]) is None
 
 
-def test_lift_goes_back_to_the_last_level_when_nobody_waits() -> None:
+def test_lift_uses_the_last_level_when_no_account_waits() -> None:
     counters = make_counters("router-0")
     counters.lift(SERVICE, AIRLINE, [], floor=700.0)
     assert counters.level(SERVICE, AIRLINE) == 700.0
 
 
-def test_debt_after_a_partition_is_bounded() -> None:
-    """Two halves of a fleet rejoin, and one account got 90,000 units ahead.
+def test_deficit_after_a_partition_is_bounded() -> None:
+    """Guards against a long wait after a network partition heals.
 
-    Made good in full, its callers would wait until all others have caught up; with a
-    bound of 24,000 they wait for the service of 24,000 units per account at most.
+    One account got 90,000 units ahead. Without a limit its callers would wait until all
+    others have caught up; with a limit of 24,000 they wait for at most 24,000 units of
+    service per account.
     """
     counters = make_counters("router-0")
     counters.record_service(SERVICE, AIRLINE, 90000.0)
@@ -121,10 +122,10 @@
 
 
 def test_folded_incarnation_is_not_counted_twice() -> None:
-    """A router restarts, and a message of its earlier life arrives a minute late.
+    """Guards against a late message of an earlier incarnation of a restarted router.
 
-    Counted again, the account would look as if it had received its service twice,
-    and its callers would wait for what they never got.
+    Counted again, the account would appear to have received its service twice, and its
+    callers would wait too long.
     """
     counters = make_counters("router-0")
     old = messages.Counter(
@@ -137,10 +138,9 @@
 
 
 def test_restarted_router_learns_folded_service_once() -> None:
-    """A router comes back empty and hears from two peers.
+    """Guards against double counting when a restarted router gets two snapshots.
 
-    Sums that each peer has folded on its own cannot be merged; taken from both they
-    would count twice.
+    Sums that each peer has folded cannot be merged; adding both would count them twice.
     """
     peers = [make_counters("router-1"), make_counters("router-2")]
     dead = messages.Counter(
@@ -181,10 +181,11 @@
 
 
 def test_charge_is_not_set_by_a_single_hint() -> None:
-    """The first request after a start has a hint of a twentieth of the usual cost.
+    """Guards against a slot charge near zero after a start.
 
-    Taken alone it would make slots count for nothing, and whoever comes first in the
-    morning's rush would hold most of them for minutes.
+    The first request has a hint of a twentieth of the usual cost. If the charge relied
+    on it alone, slots would have almost no charge, and the first account to send
+    requests would hold most of them for minutes.
     """
     charge = charges.SlotCharge()
     for cost in (20.0, 400.0, 900.0, 360.0):
@@ -194,10 +195,11 @@
     assert charge.per_slot(SERVICE) == charges.SLOT_CHARGE * 520.0
 
 
-def test_greatest_cost_is_known_after_many_requests() -> None:
-    """A router starts, and its first three requests are short.
+def test_max_cost_is_known_after_many_requests() -> None:
+    """Guards against a deficit limit that is too low after a start.
 
-    Were the debt bounded by their cost, whoever is owed a usual request would lose it.
+    The first three requests of a router are short. A limit based on their cost would
+    drop the deficit of an account that is owed a usual request.
     """
     charge = charges.SlotCharge()
     for _ in range(charges.MIN_REQUESTS_FOR_MAX_COST - 1):
