--- a/celeryspan/decisions/slots.py
+++ b/celeryspan/decisions/slots.py
@@ -1,9 +1,8 @@
-"""Which slots of which backend servers are granted or in use, at one home.
+"""Slots of backend servers that are granted or in use, as recorded by one home.
 
-Load pattern: slots are taken and given back thousands of times a second, by messages
-that may come late, twice or never.
-
-Without one table for it the home would grant a slot twice, or never again.
+Slots are taken and returned thousands of times a second, by messages that may arrive
+late, twice or never. Without a single table the home would grant a slot twice, or never
+again.
 """
 
 from __future__ import annotations
@@ -18,20 +17,20 @@
 if TYPE_CHECKING:
     from celeryspan.decisions import sharing
 
-# A server whose grant came back unused is taken last for so long, in seconds: longer
-# than the router needs to say again what waits, short against any request.
+# How long a server is chosen last after one of its grants came back unused: longer than
+# a router takes to report its demand again, much shorter than a request.
 RETURN_BACKOFF_SECONDS = 0.1
 
 
 class AllocatedSlot(msgspec.Struct, eq=False):
-    """One slot in use, or granted and not yet used.
+    """A slot that is in use, or granted and not yet used.
 
     Attributes
     ----------
     grant : GrantId or None
-        None for a slot that a router named after a take-over.
+        None for a slot that a router reported after a takeover.
     expires_at : float
-        Monotonic seconds; infinite once it is used.
+        Monotonic seconds; infinite once the grant is used.
     """
 
     grant: ids.GrantId | None
@@ -51,9 +50,9 @@
     Attributes
     ----------
     awaited : set of RouterId
-        Routers that have yet to say which slots they hold.
+        Routers that have not yet reported which slots they hold.
     recovery_ends_at : float
-        When the home stops to wait for them, in monotonic seconds.
+        When the home stops waiting for these routers, in monotonic seconds.
     returned_at : float
         When a grant last came back unused, in monotonic seconds.
     """
@@ -66,7 +65,7 @@
     returned_at: float = -math.inf
 
     def has_free_slot(self, now: float) -> bool:
-        """Return whether a slot is free and may be granted."""
+        """Return whether a slot may be granted."""
         if len(self.held) >= self.window:
             return False
         return not self.awaited or now >= self.recovery_ends_at
@@ -74,7 +73,7 @@
     def find_grant(
         self, router: ids.RouterId, grant: ids.GrantId
     ) -> AllocatedSlot | None:
-        """Return the slot of a grant."""
+        """Return the slot of a grant, or None."""
         for held in self.held:
             if held.grant == grant and held.router == router:
                 return held
@@ -83,7 +82,7 @@
     def find_without_grant(
         self, router: ids.RouterId, account: ids.AccountId
     ) -> AllocatedSlot | None:
-        """Return a slot that is known by router and account only."""
+        """Return a slot that is known only by router and account, or None."""
         for held in self.held:
             if held.grant is None and (held.router, held.account) == (router, account):
                 return held
@@ -91,7 +90,7 @@
 
 
 class SlotTable:
-    """All servers of one home, with a count for each (service, account)."""
+    """All servers of one home, with slot counts per service and account."""
 
     def __init__(self) -> None:
         self.servers: dict[ids.ServerId, ServerSlots] = {}
@@ -99,40 +98,40 @@
         self._changed: dict[sharing.Key, None] = {}
 
     def allocate(self, entry: ServerSlots, held: AllocatedSlot) -> None:
-        """Count a slot as held."""
+        """Record a slot as held."""
         entry.held.append(held)
         self._adjust_count(entry, held, 1)
 
     def release(self, entry: ServerSlots, held: AllocatedSlot) -> None:
-        """Count a slot as free."""
+        """Record a slot as free."""
         entry.held.remove(held)
         self._adjust_count(entry, held, -1)
 
     def count_held(self, service: ids.ServiceId, account: ids.AccountId) -> int:
-        """Return the slots of a service that an account holds here."""
+        """Return how many slots of a service an account holds at this home."""
         return self._counts.get((service, account), 0)
 
     def total_window(self, service: ids.ServiceId) -> int:
-        """Return the slots of a service that this home may grant."""
+        """Return how many slots of a service this home may grant."""
         entries = self.servers.values()
         return sum(entry.window for entry in entries if entry.service == service)
 
     def services(self) -> list[ids.ServiceId]:
-        """Return the services of the servers here, in order."""
+        """Return the services of this home's servers, sorted."""
         return sorted({entry.service for entry in self.servers.values()})
 
     def services_with_free_slots(self, now: float) -> list[ids.ServiceId]:
-        """Return the services with a free slot here, in order."""
+        """Return the services with a free slot at this home, sorted."""
         entries = self.servers.values()
         return sorted({entry.service for entry in entries if entry.has_free_slot(now)})
 
     def pick_server(self, service: ids.ServiceId, now: float) -> ids.ServerId | None:
-        """Return the server with the greatest free part, or None if all are full.
+        """Return the server with the largest free share, or None if all are full.
 
-        One whose grant has just come back unused is taken last. The requests that
-        wait there have failed at this server and may not go to it again; granting the
-        server that has most room, which is the same one each time, would let them
-        wait until their deadline beside servers that are free.
+        A server whose grant has just come back unused is chosen last. The requests
+        waiting at that router have failed on this server and may not return to it.
+        Granting the emptiest server, the same one each time, would leave them waiting
+        until their deadline while other servers are free.
         """
         free = {
             server: (
@@ -145,11 +144,11 @@
         return max(free, key=lambda server: free[server], default=None)
 
     def list_holders(self) -> list[sharing.Key]:
-        """Return the (service, account) pairs that hold a slot here."""
+        """Return the (service, account) pairs that hold a slot."""
         return list(self._counts)
 
     def pop_changed(self) -> list[sharing.Key]:
-        """Return the (service, account) pairs whose count changed since last time."""
+        """Return the (service, account) pairs changed since the last call."""
         changed, self._changed = list(self._changed), {}
         return changed
 
