--- a/celeryspan/decisions/admission.py
+++ b/celeryspan/decisions/admission.py
@@ -1,14 +1,14 @@
-"""Who is let into a queue, who is refused, and when the refused should come back.
+"""Admission control: which requests are queued or refused, and when to retry.
 
-Load pattern: a burst, a caller in a loop, or steady load at two to ten times the
-capacity, towards a router whose memory is small.
+Handles bursts, callers in a loop, and steady load at two to ten times the capacity, on
+a router with little memory.
 
-Without it: every queue grows until each answer comes after its caller has left, so
-that the fleet is fully busy and nobody is served; one account's flood takes the memory
-of all; refused callers told the same second come back together and are refused again.
+Without admission control every queue grows until each answer arrives after its caller
+has disconnected, so the fleet is busy and serves nobody. One flooding account takes all
+the memory. Callers refused with the same retry time return together and are refused
+again.
 
-Grounds of the figures: stated beside each constant; `docs/design/admission.md` has the
-measurements.
+`docs/design/admission.md` has the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from celeryspan.decisions import queueing
 
 MAX_WAITING = 512
-"""Requests of one account that wait for one service at one router."""
+"""Waiting requests of one account for one service at one router."""
 
 MAX_ACCOUNT_BYTES = 8 << 20
-"""Bytes of one account's waiting requests, as long as others need memory too."""
+"""Memory for the waiting requests of one account, so that others have memory too."""
 
 MAX_TOTAL_BYTES = 64 << 20
-"""Bytes of all waiting requests of a router; a small VM has 1 to 2 GiB."""
+"""Memory for all waiting requests of a router; a small VM has 1 to 2 GiB."""
 
 MIN_RETRY_SECONDS = 1.0
-"""Least `Retry-After`: HTTP states whole seconds."""
+"""Minimum `Retry-After`: HTTP states whole seconds."""
 
 MAX_RETRY_SECONDS = 60.0
-"""Greatest `Retry-After`: beyond it the drain rate says nothing about the future."""
+"""Maximum `Retry-After`: the drain rate cannot predict further ahead."""
 
 UNKNOWN_RETRY_SECONDS = 2.0
-"""`Retry-After` as long as no drain rate has been measured."""
+"""`Retry-After` while no drain rate is known."""
 
-JITTER_SHARE = 0.25
-"""Width of the random part of `Retry-After`, as a share of it."""
+JITTER_FRACTION = 0.25
+"""Maximum random addition to `Retry-After`, as a fraction of it."""
 
 
 class Reason(enum.Enum):
-    """Why a request is refused; the value is the error's code."""
+    """Why a request is refused; the value is the error code."""
 
     QUEUE_FULL = "queue-full"
     DEADLINE_UNREACHABLE = "deadline-unreachable"
@@ -67,12 +67,12 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A request that was not run and will not be.
+    """A request that has not run and will not run.
 
     Attributes
     ----------
     retry_after : float
-        Seconds after which a repeat is expected to be let in.
+        Seconds after which a retry is expected to be admitted.
     """
 
     request: ids.RequestId
@@ -80,7 +80,7 @@
     retry_after: float
 
     def make_error(self) -> errors.NotRun:
-        """Return the error that tells the caller."""
+        """Return the error to send to the caller."""
         return errors.NotRun(
             MESSAGES[self.reason],
             code=self.reason.value,
@@ -91,23 +91,23 @@
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """A request that waits now.
+    """A request that has been queued.
 
     Attributes
     ----------
     shed : tuple of Refused
-        Requests of the account with the most waiting bytes that gave way.
+        Requests removed to free memory, from the account with the most waiting bytes.
     """
 
-    entry: queueing.Entry
+    entry: queueing.QueuedRequest
     shed: tuple[Refused, ...] = ()
 
 
-Verdict = Admitted | Refused
+AdmissionResult = Admitted | Refused
 
 
-class Bounds(msgspec.Struct, frozen=True):
-    """How much may wait at one router."""
+class AdmissionLimits(msgspec.Struct, frozen=True):
+    """Limits on the waiting requests of one router."""
 
     waiting: int = MAX_WAITING
     account_bytes: int = MAX_ACCOUNT_BYTES
@@ -115,20 +115,22 @@
 
 
 class Admission:
-    """Lets requests into the queues of one router or refuses them.
+    """Admits requests to the queues of one router or refuses them.
 
     Parameters
     ----------
     queues : Queues
         Where admitted requests wait.
-    bounds : Bounds
+    limits : AdmissionLimits
         How much may wait.
     """
 
-    def __init__(self, queues: queueing.Queues, bounds: Bounds | None = None) -> None:
+    def __init__(
+        self, queues: queueing.Queues, limits: AdmissionLimits | None = None
+    ) -> None:
         self._queues = queues
-        self._bounds = bounds or Bounds()
-        self._promised: dict[tuple[ids.ServiceId, ids.AccountId], float] = {}
+        self._limits = limits or AdmissionLimits()
+        self._next_retry_at: dict[tuple[ids.ServiceId, ids.AccountId], float] = {}
 
     def admit(
         self,
@@ -137,8 +139,8 @@
         estimate: float,
         now: float,
         jitter: float,
-    ) -> Verdict:
-        """Let a request in or refuse it.
+    ) -> AdmissionResult:
+        """Admit or refuse a request.
 
         Parameters
         ----------
@@ -151,10 +153,10 @@
         jitter : float
             Random number from 0 to 1, for the `Retry-After` of a refusal.
         """
-        reason = self._find_reason(work, size, estimate, now)
+        reason = self._find_refusal_reason(work, size, estimate, now)
         if reason is not None:
             return self.refuse(work, reason, now, jitter)
-        shed = self._make_room(work, size, now, jitter)
+        shed = self._shed_until_fits(work, size, now, jitter)
         if shed is None:
             return self.refuse(work, Reason.MEMORY_FULL, now, jitter)
         return Admitted(self._queues.add(work, size, estimate, now), shed)
@@ -162,10 +164,10 @@
     def refuse(
         self, work: dispatch.Work, reason: Reason, now: float, jitter: float
     ) -> Refused:
-        """Return a refusal with the time at which the account has room again.
+        """Return a refusal with the time after which a retry should be admitted.
 
-        Each refused caller is promised a place of its own: the places follow each
-        other at the account's drain rate, so that those who come back are let in.
+        Each refused caller gets a retry time of its own. The times are spaced by the
+        account's drain rate, so that callers that return are admitted.
         """
         key = (work.service, work.account)
         rate = self._queues.drain_rate(*key, now)
@@ -175,35 +177,38 @@
             opening = now + 1.0 / rate
             if reason is not Reason.QUEUE_FULL:
                 opening = now + self._queues.waiting(*key) / rate
-            place = max(opening, self._promised.get(key, now) + 1.0 / rate)
+            place = max(opening, self._next_retry_at.get(key, now) + 1.0 / rate)
             place = min(place, now + MAX_RETRY_SECONDS)
-            self._promised[key] = place
+            self._next_retry_at[key] = place
             seconds = place - now
-        seconds = max(MIN_RETRY_SECONDS, seconds) * (1.0 + JITTER_SHARE * jitter)
+        seconds = max(MIN_RETRY_SECONDS, seconds) * (1.0 + JITTER_FRACTION * jitter)
         return Refused(work.request, reason, seconds)
 
-    def _find_reason(
+    def _find_refusal_reason(
         self, work: dispatch.Work, size: int, estimate: float, now: float
     ) -> Reason | None:
         if work.deadline <= now:
             return Reason.EXPIRED
         waiting = self._queues.waiting(work.service, work.account)
         held = self._queues.account_bytes(work.account)
-        if waiting >= self._bounds.waiting or held + size > self._bounds.account_bytes:
+        if waiting >= self._limits.waiting or held + size > self._limits.account_bytes:
             return Reason.QUEUE_FULL
         rate = self._queues.drain_rate(work.service, work.account, now)
-        limit = self._queues.wait_limit(work, estimate, now)
+        limit = self._queues.max_wait(work, estimate, now)
         if rate is not None and waiting > rate * limit:
             return Reason.DEADLINE_UNREACHABLE
         return None
 
-    def _make_room(
+    def _shed_until_fits(
         self, work: dispatch.Work, size: int, now: float, jitter: float
     ) -> tuple[Refused, ...] | None:
-        """Shed from the account with the most waiting bytes until a request fits."""
+        """Shed from the account with the most waiting bytes until a request fits.
+
+        Returns None if shedding cannot free enough memory.
+        """
         shed: list[Refused] = []
         mine = self._queues.account_bytes(work.account) + size
-        while self._queues.total_bytes + size > self._bounds.total_bytes:
+        while self._queues.total_bytes + size > self._limits.total_bytes:
             largest = self._queues.largest_account()
             if largest is None or self._queues.account_bytes(largest) <= mine:
                 return tuple(shed) if shed and self._fits(size) else None
@@ -213,4 +218,4 @@
         return tuple(shed)
 
     def _fits(self, size: int) -> bool:
-        return self._queues.total_bytes + size <= self._bounds.total_bytes
+        return self._queues.total_bytes + size <= self._limits.total_bytes
