--- a/bench/one_router.py
+++ b/bench/one_router.py
@@ -201,7 +201,7 @@
         self.cache = routing.CacheMap()
         self.routing = routing.Routing(self.cache)
         self.outliers = outliers.Outliers()
-        self.retries = retries.Retries()
+        self.retries = retries.RetryPolicy()
         self.now = 0.0
         self.records: list[Record] = []
         self._received: dict[ids.AccountId, float] = collections.defaultdict(float)
@@ -403,7 +403,7 @@
             return
         server.store(call.prompt, self.now)
         self.cache.observe(server.name, *known)
-        self.retries.succeed(SERVICE)
+        self.retries.record_success(SERVICE)
         record.ended_at = self.now
         record.code = "late"
         if self.now <= entry.work.deadline:
--- a/celeryspan/decisions/retries.py
+++ b/celeryspan/decisions/retries.py
@@ -22,7 +22,7 @@
 MAX_ATTEMPTS = 3
 """Attempts of one request, the first included: beyond, the cause is not one server."""
 
-BUDGET_SHARE = 0.1
+BUDGET_PER_SUCCESS = 0.1
 """Retries earned by one success: a failing service sees at most 1.1 times its load."""
 
 BUDGET_MAX = 10.0
@@ -77,21 +77,21 @@
     code: str
 
 
-Verdict = Retry | GiveUp
+Decision = Retry | GiveUp
 
 
-class Retries:
+class RetryPolicy:
     """Decides on repeats at one router, with a budget for each service."""
 
     def __init__(self) -> None:
         self._budgets: dict[ids.ServiceId, float] = {}
 
-    def succeed(self, service: ids.ServiceId) -> None:
+    def record_success(self, service: ids.ServiceId) -> None:
         """Earn a share of a retry."""
         budget = self._budgets.get(service, BUDGET_MAX)
-        self._budgets[service] = min(BUDGET_MAX, budget + BUDGET_SHARE)
+        self._budgets[service] = min(BUDGET_MAX, budget + BUDGET_PER_SUCCESS)
 
-    def decide(self, attempt: Attempt, now: float, jitter: float) -> Verdict:
+    def decide(self, attempt: Attempt, now: float, jitter: float) -> Decision:
         """Decide on a failed attempt; ``jitter`` is a random number from 0 to 1."""
         outcome = states.Outcome.NOT_RUN
         if attempt.sent is Sent.MAYBE:
@@ -105,11 +105,11 @@
         delay = BACKOFF_SECONDS * 2 ** (attempt.number - 1) * (0.5 + jitter)
         if now + delay >= attempt.deadline:
             return GiveUp(outcome, "deadline-passed")
-        if not self._spend(attempt.service):
+        if not self._consume_budget(attempt.service):
             return GiveUp(outcome, "retry-budget-spent")
         return Retry(delay)
 
-    def _spend(self, service: ids.ServiceId) -> bool:
+    def _consume_budget(self, service: ids.ServiceId) -> bool:
         budget = self._budgets.get(service, BUDGET_MAX)
         if budget < 1.0:
             return False
--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -32,7 +32,7 @@
         self._backends: backends.Backends = box.find("backends")
         self._meters: metrics.Metrics = box.find("metrics")
         self.sleep = time.sleep
-        self._retries = retries.Retries()
+        self._retries = retries.RetryPolicy()
         self._random = random.Random(f"{box.settings.router} {time.time_ns()}")
         self._plain = backend.REGISTRY[states.ServiceKind.PLAIN]()
         self._model = backend.REGISTRY[states.ServiceKind.MODEL]()
@@ -95,7 +95,7 @@
                 excluded.add(slot.server)
                 self._pause(call, progress, failure, number)
                 continue
-            self._retries.succeed(call.service)
+            self._retries.record_success(call.service)
             return answer
 
     def _acquire(
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -23,25 +23,27 @@
     The connection broke after the request had left; the server had carried it out and
     its answer was lost. A second attempt books the gate again.
     """
-    verdict = retries.Retries().decide(make_attempt(retries.Sent.MAYBE), 0.0, jitter)
+    verdict = retries.RetryPolicy().decide(
+        make_attempt(retries.Sent.MAYBE), 0.0, jitter
+    )
     assert verdict == retries.GiveUp(states.Outcome.UNKNOWN, "outcome-unknown")
 
 
 @pytest.mark.parametrize("sent", [retries.Sent.NOTHING, retries.Sent.REFUSED])
 def test_what_was_not_sent_is_repeated(sent: retries.Sent) -> None:
-    verdict = retries.Retries().decide(make_attempt(sent), 0.0, 0.5)
+    verdict = retries.RetryPolicy().decide(make_attempt(sent), 0.0, 0.5)
     assert verdict == retries.Retry(retries.BACKOFF_SECONDS)
 
 
 def test_an_answer_that_has_begun_is_not_started_again() -> None:
     attempt = make_attempt(retries.Sent.MAYBE, idempotent=True, answering=True)
-    verdict = retries.Retries().decide(attempt, 0.0, 0.5)
+    verdict = retries.RetryPolicy().decide(attempt, 0.0, 0.5)
     assert verdict == retries.GiveUp(states.Outcome.UNKNOWN, "answer-cut")
 
 
 def test_what_is_given_up_unsent_is_called_not_run() -> None:
     attempt = make_attempt(retries.Sent.NOTHING, number=retries.MAX_ATTEMPTS)
-    verdict = retries.Retries().decide(attempt, 0.0, 0.5)
+    verdict = retries.RetryPolicy().decide(attempt, 0.0, 0.5)
     assert verdict == retries.GiveUp(states.Outcome.NOT_RUN, "attempts-spent")
 
 
@@ -51,7 +53,7 @@
     Each of 1,000 failed requests is repeated twice, so that the servers get three times
     the load at which they have just failed.
     """
-    control = retries.Retries()
+    control = retries.RetryPolicy()
     attempt = make_attempt(retries.Sent.MAYBE, idempotent=True)
     verdicts = [control.decide(attempt, 0.0, 0.5) for _ in range(1000)]
     repeated = sum(isinstance(one, retries.Retry) for one in verdicts)
@@ -60,5 +62,5 @@
 
 def test_no_retry_after_the_deadline() -> None:
     attempt = make_attempt(retries.Sent.NOTHING)
-    verdict = retries.Retries().decide(attempt, 99.99, 0.5)
+    verdict = retries.RetryPolicy().decide(attempt, 99.99, 0.5)
     assert verdict == retries.GiveUp(states.Outcome.NOT_RUN, "deadline-passed")
