--- a/celeryspan/decisions/retrybudget.py
+++ b/celeryspan/decisions/retrybudget.py
@@ -11,11 +11,11 @@
 
 import collections
 
-SHARE_USED = 0.9
+RATIO_USED_FRACTION = 0.9
 """Part of the share of own requests that is used: windows of the routers don't end at
 the same moment."""
 
-SLACK_USED = 0.5
+SLACK_USED_FRACTION = 0.5
 """Part of the fixed rest that is used, so that a router which restarts and has
 forgotten what it spent can spend as much again."""
 
@@ -38,24 +38,24 @@
         self._slack = slack
         self._window = window
         self._requests: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
-        self._drop(now)
+        self._expire(now)
 
-    def take(self, now: float, routers: int) -> bool:
+    def try_take(self, now: float, routers: int) -> bool:
         """Take one repeat if one is left; ``routers`` share the fixed rest."""
-        self._drop(now)
-        allowed = self._ratio * SHARE_USED * len(self._requests)
-        allowed += self._slack * SLACK_USED / max(1, routers)
-        if len(self._repeats) + 1 > allowed:
+        self._expire(now)
+        allowed = self._ratio * RATIO_USED_FRACTION * len(self._requests)
+        allowed += self._slack * SLACK_USED_FRACTION / max(1, routers)
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def _drop(self, now: float) -> None:
-        for times in (self._requests, self._repeats):
+    def _expire(self, now: float) -> None:
+        for times in (self._requests, self._retries):
             while times and times[0] < now - self._window:
                 times.popleft()
--- a/celeryspan/gateway/budgets.py
+++ b/celeryspan/gateway/budgets.py
@@ -32,13 +32,13 @@
     def note_request(self, service: ids.ServiceId) -> None:
         """Count a request of a caller."""
         with self._lock:
-            self._find(service).note_request(time.monotonic())
+            self._find(service).record_request(time.monotonic())
 
     def take(self, service: ids.ServiceId) -> bool:
         """Take one repeat from the budget, if one is left."""
         with self._lock:
             routers = self._map.count_routers()
-            return self._find(service).take(time.monotonic(), routers)
+            return self._find(service).try_take(time.monotonic(), routers)
 
     def _find(self, service: ids.ServiceId) -> retrybudget.RetryBudget:
         if service not in self._budgets:
--- a/tests/decisions/test_retrybudget.py
+++ b/tests/decisions/test_retrybudget.py
@@ -9,7 +9,7 @@
 
 def count_repeats(budget, now: float, routers: int, wanted: int) -> int:
     """Return how many of the wanted repeats are allowed."""
-    return sum(budget.take(now, routers) for _ in range(wanted))
+    return sum(budget.try_take(now, routers) for _ in range(wanted))
 
 
 def test_fleet_stays_within_its_budget_when_every_request_wants_a_repeat() -> None:
@@ -23,9 +23,9 @@
         now = tick * 0.1
         for budget in budgets:
             for _ in range(3):
-                budget.note_request(now)
+                budget.record_request(now)
                 requests += 1
-                repeats += budget.take(now, 6)
+                repeats += budget.try_take(now, 6)
     assert repeats <= RATIO * requests + SLACK
     assert repeats >= 0.8 * RATIO * requests
 
@@ -43,11 +43,11 @@
 def test_window_slides() -> None:
     budget = retrybudget.RetryBudget(RATIO, 0.0, WINDOW)
     for _ in range(100):
-        budget.note_request(0.0)
+        budget.record_request(0.0)
     allowed = count_repeats(budget, 0.0, 1, 100)
     assert 0 < allowed <= 20
     assert count_repeats(budget, 9.0, 1, 100) == 0
     assert count_repeats(budget, 11.0, 1, 100) == 0
     for _ in range(100):
-        budget.note_request(11.0)
+        budget.record_request(11.0)
     assert count_repeats(budget, 11.0, 1, 100) == allowed
