--- a/celeryspan/decisions/tickets.py
+++ b/celeryspan/decisions/tickets.py
@@ -25,15 +25,15 @@
 VALID_SECONDS = 600.0
 
 # Tickets in one address answer, and the most that a caller may ask for.
-BATCH = 8
-BATCH_MAX = 64
+BATCH_SIZE_DEFAULT = 8
+BATCH_SIZE_MAX = 64
 
 # 128 bits of the keyed hash are far beyond guessing.
 MAC_CHARACTERS = 32
 
 SEPARATOR = ":"
-VERSION = "t1"
-FORWARD = "f1"
+TICKET_PREFIX = "t1"
+FORWARDED_PREFIX = "f1"
 
 
 class Ticket(msgspec.Struct, frozen=True):
@@ -55,20 +55,20 @@
         return now - self.issued > VALID_SECONDS
 
 
-class Forwarded(msgspec.Struct, frozen=True):
+class ForwardingProof(msgspec.Struct, frozen=True):
     """Proof that a request was passed on by another router of the fleet."""
 
     router: ids.RouterId
     request: ids.RequestId
 
 
-def write_ticket(keys: Sequence[str], ticket: Ticket) -> str:
+def encode_ticket(keys: Sequence[str], ticket: Ticket) -> str:
     """Return a ticket as text, signed with the first of the fleet's keys."""
     fields = (ticket.router, ticket.incarnation, ticket.serial, ticket.issued)
-    return _sign(keys, VERSION, *fields)
+    return _sign(keys, TICKET_PREFIX, *fields)
 
 
-def read_ticket(keys: Sequence[str], text: str) -> Ticket:
+def decode_ticket(keys: Sequence[str], text: str) -> Ticket:
     """Return the ticket in a text.
 
     Raises
@@ -76,7 +76,7 @@
     errors.NotRun
         If it is not a ticket that this fleet signed.
     """
-    fields = _verify(keys, VERSION, text, count=4)
+    fields = _verify(keys, TICKET_PREFIX, text, count=4)
     return Ticket(
         router=ids.RouterId(fields[0]),
         incarnation=ids.Incarnation(int(fields[1])),
@@ -85,15 +85,15 @@
     )
 
 
-def write_forwarded(keys: Sequence[str], forwarded: Forwarded) -> str:
+def encode_forwarding_proof(keys: Sequence[str], forwarded: ForwardingProof) -> str:
     """Return the proof as text."""
-    return _sign(keys, FORWARD, forwarded.router, forwarded.request)
+    return _sign(keys, FORWARDED_PREFIX, forwarded.router, forwarded.request)
 
 
-def read_forwarded(keys: Sequence[str], text: str) -> Forwarded:
+def decode_forwarding_proof(keys: Sequence[str], text: str) -> ForwardingProof:
     """Return the proof in a text; raises NotRun if this fleet did not sign it."""
-    router, request = _verify(keys, FORWARD, text, count=2)
-    return Forwarded(ids.RouterId(router), ids.RequestId(request))
+    router, request = _verify(keys, FORWARDED_PREFIX, text, count=2)
+    return ForwardingProof(ids.RouterId(router), ids.RequestId(request))
 
 
 def _sign(keys: Sequence[str], kind: str, *fields: object) -> str:
--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -230,12 +230,12 @@
 
 def read_count() -> int:
     """Return how many tickets the caller asks for by ``?tickets=N``."""
-    text = cherrypy.request.params.get("tickets", str(tickets.BATCH))
+    text = cherrypy.request.params.get("tickets", str(tickets.BATCH_SIZE_DEFAULT))
     if not isinstance(text, str) or not text.isdecimal() or len(text) > 3:
         raise exchange.refuse(
             "expected a number of tickets", code="malformed", status=400
         )
-    return min(int(text), tickets.BATCH_MAX)
+    return min(int(text), tickets.BATCH_SIZE_MAX)
 
 
 def make_starting() -> errors.NotRun:
--- a/celeryspan/services/claims.py
+++ b/celeryspan/services/claims.py
@@ -67,7 +67,7 @@
         """Return new tickets of this incarnation."""
         issued = int(time.monotonic())
         return [
-            tickets.write_ticket(
+            tickets.encode_ticket(
                 self._settings.fleet_keys,
                 tickets.Ticket(*self.owner, next(self._serials), issued),
             )
@@ -111,7 +111,7 @@
         text: str,
         run: Callable[[], object],
     ) -> object:
-        ticket = tickets.read_ticket(self._settings.fleet_keys, text)
+        ticket = tickets.decode_ticket(self._settings.fleet_keys, text)
         issuer = claims.Owner(ticket.router, ticket.incarnation)
         if issuer != self.owner:
             return self._forwarding.pass_on(found, call, issuer)
--- a/celeryspan/services/exchange.py
+++ b/celeryspan/services/exchange.py
@@ -61,7 +61,7 @@
         text = self.headers.get(FORWARDED_HEADER)
         if text is None:
             return
-        self.request = tickets.read_forwarded(keys, text).request
+        self.request = tickets.decode_forwarding_proof(keys, text).request
         self.forwarded = True
         cherrypy.request.celeryspan_id = self.request
 
--- a/celeryspan/services/forwarding.py
+++ b/celeryspan/services/forwarding.py
@@ -90,13 +90,15 @@
     ) -> urllib3.BaseHTTPResponse:
         left = call.deadline - time.monotonic()
         backends.set_timeout(link, min(ANSWER_SECONDS, max(left, 0.1)))
-        proof = tickets.Forwarded(ids.RouterId(self._settings.router), found.request)
+        proof = tickets.ForwardingProof(
+            ids.RouterId(self._settings.router), found.request
+        )
         headers = {
             name: value
             for name, value in found.headers.items()
             if name.lower() not in NOT_PASSED_ON
         }
-        headers[exchange.FORWARDED_HEADER] = tickets.write_forwarded(
+        headers[exchange.FORWARDED_HEADER] = tickets.encode_forwarding_proof(
             self._settings.fleet_keys, proof
         )
         link.request(
