--- a/celeryspan/decisions/claims.py
+++ b/celeryspan/decisions/claims.py
@@ -27,7 +27,7 @@
 RECORDS_MAX = 100_000
 
 # Longer than a ticket is valid, so that its record outlives it.
-RECORD_SECONDS = tickets.VALID_SECONDS + 60.0
+RECORD_RETENTION_SECONDS = tickets.VALID_SECONDS + 60.0
 
 # Answers kept for repeats, all together and each, in bytes. Most repeats come within
 # seconds, when the newest answers are still here.
@@ -38,27 +38,27 @@
 # How long a key is remembered by the object API, in days: callers may repeat a
 # request for a day. Claims of one day share a prefix, so that old ones can be found.
 DAY_SECONDS = 86_400
-CLAIM_DAYS = 1
+CLAIM_RETENTION_DAYS = 1
 
 # Greatest difference between the clocks of two routers, in seconds; clocks of a data
 # centre agree within milliseconds, one that is minutes off is replaced.
-SKEW_SECONDS = 300
+CLOCK_SKEW_MAX_SECONDS = 300
 
 
-class Kind(enum.Enum):
+class NameKind(enum.Enum):
     """How a caller names a request."""
 
     TICKET = "ticket"
     KEY = "key"
 
 
-class Name(NamedTuple):
+class RequestName(NamedTuple):
     """What makes a repeat recognisable.
 
     The account belongs to it, so that none can ask for another's answer.
     """
 
-    kind: Kind
+    kind: NameKind
     account: ids.AccountId
     text: str
 
@@ -96,7 +96,7 @@
     version: int = 0
 
 
-class Verdict(enum.Enum):
+class Decision(enum.Enum):
     """What to do with a request that carries a name."""
 
     RUN = "run"
@@ -139,10 +139,14 @@
     """The records of one router incarnation."""
 
     def __init__(self, records_max: int = RECORDS_MAX) -> None:
-        self._records: collections.OrderedDict[Name, Record] = collections.OrderedDict()
-        self._answered: collections.OrderedDict[Name, int] = collections.OrderedDict()
+        self._records: collections.OrderedDict[RequestName, Record] = (
+            collections.OrderedDict()
+        )
+        self._answer_sizes: collections.OrderedDict[RequestName, int] = (
+            collections.OrderedDict()
+        )
         self._records_max = records_max
-        self._bytes = 0
+        self._answer_bytes = 0
 
     def __len__(self) -> int:
         return len(self._records)
@@ -150,40 +154,40 @@
     @property
     def answer_bytes(self) -> int:
         """Size of the answers kept, in bytes."""
-        return self._bytes
+        return self._answer_bytes
 
-    def find(self, name: Name) -> Record | None:
+    def find(self, name: RequestName) -> Record | None:
         """Return the record of a name, if there is one."""
         return self._records.get(name)
 
-    def begin(self, name: Name, digest: str, now: float) -> Verdict:
+    def begin(self, name: RequestName, digest: str, now: float) -> Decision:
         """Decide on a request; after RUN its caller must settle or free the name."""
         self._expire(now)
         record = self._records.get(name)
         if record is None:
             if len(self._records) >= self._records_max:
-                return Verdict.FULL
+                return Decision.FULL
             self._records[name] = Record(digest, now)
-            return Verdict.RUN
+            return Decision.RUN
         if record.digest != digest:
-            return Verdict.MISMATCH
+            return Decision.MISMATCH
         if record.stage is Stage.RUNNING:
-            return Verdict.WAIT
+            return Decision.WAIT
         if record.stage is Stage.SETTLED:
-            return Verdict.REPEAT
+            return Decision.REPEAT
         record.stage = Stage.RUNNING
-        return Verdict.RUN
+        return Decision.RUN
 
-    def free(self, name: Name) -> None:
+    def release(self, name: RequestName) -> None:
         """Note that the request was certainly not run and may be tried again."""
         self._records[name].stage = Stage.FREE
 
-    def forget(self, name: Name) -> None:
+    def remove(self, name: RequestName) -> None:
         """Drop a name that belongs to another router."""
         self._records.pop(name, None)
 
     def settle(
-        self, name: Name, outcome: states.Outcome, answer: Answer | None = None
+        self, name: RequestName, outcome: states.Outcome, answer: Answer | None = None
     ) -> None:
         """Note how the request ended."""
         record = self._records[name]
@@ -191,14 +195,14 @@
         record.outcome = outcome
         if answer is not None and len(answer.body) <= ANSWER_BYTES_MAX:
             record.answer = answer
-            self._answered[name] = len(answer.body)
-            self._bytes += len(answer.body)
-            self._drop_answers()
-
-    def _drop_answers(self) -> None:
-        while self._bytes > ANSWERS_BYTES_MAX:
-            name, size = self._answered.popitem(last=False)
-            self._bytes -= size
+            self._answer_sizes[name] = len(answer.body)
+            self._answer_bytes += len(answer.body)
+            self._evict_answers()
+
+    def _evict_answers(self) -> None:
+        while self._answer_bytes > ANSWERS_BYTES_MAX:
+            name, size = self._answer_sizes.popitem(last=False)
+            self._answer_bytes -= size
             if name in self._records:
                 self._records[name].answer = None
 
@@ -206,22 +210,22 @@
         """Drop records that are too old; those still running go to the end."""
         while self._records:
             name, record = next(iter(self._records.items()))
-            if now - record.since <= RECORD_SECONDS:
+            if now - record.since <= RECORD_RETENTION_SECONDS:
                 return
             if record.stage is Stage.RUNNING:
                 record.since = now
                 self._records.move_to_end(name)
                 continue
             del self._records[name]
-            self._bytes -= self._answered.pop(name, 0)
+            self._answer_bytes -= self._answer_sizes.pop(name, 0)
 
 
-def hash_name(name: Name) -> str:
+def hash_name(name: RequestName) -> str:
     """Return a fixed-length text for a name, which may hold anything."""
     return hashlib.sha256(f"{name.account}/{name.text}".encode()).hexdigest()
 
 
-def find_days(now: float) -> tuple[int, tuple[int, ...]]:
+def find_claim_days(now: float) -> tuple[int, tuple[int, ...]]:
     """Return the day to claim in, and the others in which a claim may stand.
 
     Parameters
@@ -230,6 +234,6 @@
         Seconds since the epoch, by the clock of this router.
     """
     today = int(now // DAY_SECONDS)
-    first = int((now - CLAIM_DAYS * DAY_SECONDS) // DAY_SECONDS)
-    last = int((now + SKEW_SECONDS) // DAY_SECONDS)
+    first = int((now - CLAIM_RETENTION_DAYS * DAY_SECONDS) // DAY_SECONDS)
+    last = int((now + CLOCK_SKEW_MAX_SECONDS) // DAY_SECONDS)
     return today, tuple(day for day in range(first, last + 1) if day != today)
--- a/celeryspan/services/claims.py
+++ b/celeryspan/services/claims.py
@@ -115,7 +115,7 @@
         issuer = claims.Owner(ticket.router, ticket.incarnation)
         if issuer != self.owner:
             return self._forwarding.pass_on(found, call, issuer)
-        name = claims.Name(claims.Kind.TICKET, call.account, text)
+        name = claims.RequestName(claims.NameKind.TICKET, call.account, text)
         if ticket.is_expired(time.monotonic()):
             raise errors.OutcomeUnknown(
                 "the ticket is too old; an earlier use of it is no longer known",
@@ -138,7 +138,7 @@
                 code="malformed",
                 status=400,
             )
-        name = claims.Name(claims.Kind.KEY, call.account, text)
+        name = claims.RequestName(claims.NameKind.KEY, call.account, text)
         if found.forwarded and self._ledger.find(name) is None:
             # Another router read a claim that names this one, whose record has gone:
             # the request may have run long ago.
@@ -149,22 +149,22 @@
         self,
         found: exchange.Exchange,
         call: calls.Call,
-        name: claims.Name,
+        name: claims.RequestName,
         run: Callable[[], object],
     ) -> object:
         digest = repeats.hash_call(call)
         while True:
             with self._changed:
                 verdict = self._ledger.begin(name, digest, time.monotonic())
-            if verdict is claims.Verdict.RUN:
+            if verdict is claims.Decision.RUN:
                 return self._run(found, call, name, run)
-            if verdict is claims.Verdict.REPEAT:
+            if verdict is claims.Decision.REPEAT:
                 return self._repeat(found, name)
-            if verdict is not claims.Verdict.WAIT:
+            if verdict is not claims.Decision.WAIT:
                 raise repeats.make_refusal(verdict)
             self._wait(name, call)
 
-    def _wait(self, name: claims.Name, call: calls.Call) -> None:
+    def _wait(self, name: claims.RequestName, call: calls.Call) -> None:
         """Wait while an equal request runs; raises OutcomeUnknown after a time."""
         while time.monotonic() < call.deadline and not call.presence.gone:
             with self._changed:
@@ -178,7 +178,7 @@
             step="claim",
         )
 
-    def _runs(self, name: claims.Name) -> bool:
+    def _runs(self, name: claims.RequestName) -> bool:
         record = self._ledger.find(name)
         return record is not None and record.stage is claims.Stage.RUNNING
 
@@ -186,11 +186,11 @@
         self,
         found: exchange.Exchange,
         call: calls.Call,
-        name: claims.Name,
+        name: claims.RequestName,
         run: Callable[[], object],
     ) -> object:
         elsewhere = None
-        if name.kind is claims.Kind.KEY:
+        if name.kind is claims.NameKind.KEY:
             elsewhere = self._claim(name)
         if elsewhere is not None:
             return self._answer_elsewhere(found, call, elsewhere)
@@ -210,7 +210,7 @@
             return body
         return answers.Stream(lambda _: self._collect(name, body), body.close)
 
-    def _claim(self, name: claims.Name) -> claims.Claim | None:
+    def _claim(self, name: claims.RequestName) -> claims.Claim | None:
         """Claim a key; returns the claim of another router, if there is one."""
         record = self._ledger.find(name)
         if record.claim is not None:
@@ -228,7 +228,7 @@
             return None
         self._forget(name)
         if claim.digest != record.digest:
-            raise repeats.make_refusal(claims.Verdict.MISMATCH)
+            raise repeats.make_refusal(claims.Decision.MISMATCH)
         return claim
 
     def _answer_elsewhere(
@@ -239,7 +239,7 @@
         return self._forwarding.pass_on(found, call, claim.owner)
 
     def _settle_not_run(
-        self, found: exchange.Exchange, name: claims.Name, error: errors.NotRun
+        self, found: exchange.Exchange, name: claims.RequestName, error: errors.NotRun
     ) -> None:
         """Remember a refusal.
 
@@ -247,13 +247,15 @@
         through another router must not run after its caller was told "not run". A
         key may be tried again, since its caller has no other name for the request.
         """
-        if name.kind is claims.Kind.KEY:
+        if name.kind is claims.NameKind.KEY:
             self._free(name)
             return
         body = answers.refuse(found.request, error)
         self._settle(name, states.Outcome.NOT_RUN, repeats.copy_answer(body))
 
-    def _collect(self, name: claims.Name, body: answers.Stream) -> Iterator[bytes]:
+    def _collect(
+        self, name: claims.RequestName, body: answers.Stream
+    ) -> Iterator[bytes]:
         """Pass a stream on and keep it if it is whole and small enough."""
         answer = repeats.copy_answer(b"")
         pieces: list[bytes] = []
@@ -271,7 +273,7 @@
             self._settle(name, states.Outcome.RAN, answer if kept else None)
 
     def _publish(
-        self, found: exchange.Exchange, name: claims.Name, answer: claims.Answer
+        self, found: exchange.Exchange, name: claims.RequestName, answer: claims.Answer
     ) -> None:
         """Put the answer beside the claim, once the caller has it."""
         claim = self._ledger.find(name).claim
@@ -280,7 +282,7 @@
 
     def _settle(
         self,
-        name: claims.Name,
+        name: claims.RequestName,
         outcome: states.Outcome,
         answer: claims.Answer | None = None,
     ) -> None:
@@ -288,17 +290,17 @@
             self._ledger.settle(name, outcome, answer)
             self._changed.notify_all()
 
-    def _free(self, name: claims.Name) -> None:
+    def _free(self, name: claims.RequestName) -> None:
         with self._changed:
-            self._ledger.free(name)
+            self._ledger.release(name)
             self._changed.notify_all()
 
-    def _forget(self, name: claims.Name) -> None:
+    def _forget(self, name: claims.RequestName) -> None:
         with self._changed:
-            self._ledger.forget(name)
+            self._ledger.remove(name)
             self._changed.notify_all()
 
-    def _repeat(self, found: exchange.Exchange, name: claims.Name) -> object:
+    def _repeat(self, found: exchange.Exchange, name: claims.RequestName) -> object:
         record = self._ledger.find(name)
         if record.answer is not None:
             return repeats.write_repeat(found.request, record.outcome, record.answer)
--- a/celeryspan/services/claimstore.py
+++ b/celeryspan/services/claimstore.py
@@ -50,7 +50,7 @@
         self._stopped.set()
 
     def claim(
-        self, name: claims.Name, owner: claims.Owner, digest: str
+        self, name: claims.RequestName, owner: claims.Owner, digest: str
     ) -> claims.Claim:
         """Claim a key for an owner, and return the claim that stands.
 
@@ -61,7 +61,7 @@
         errors.OutcomeUnknown
             If another claim stands that can't be read.
         """
-        today, other_days = claims.find_days(time.time())
+        today, other_days = claims.find_claim_days(time.time())
         mine = claims.Claim(owner, digest)
         standing = self._create(make_key(today, name), mine)
         if standing.owner != owner:
@@ -140,14 +140,14 @@
                 continue  # Another router, or the next look, deletes them.
 
     def _delete_old(self, now: float) -> None:
-        _, other_days = claims.find_days(now)
+        _, other_days = claims.find_claim_days(now)
         oldest = min(other_days) - 1
         found = self._store.list_keys(f"{PREFIX}/{oldest}/", background=True)
         for key, version in list(found.items())[:SWEEP_MAX]:
             self._store.delete(key, version, background=True)
 
 
-def make_key(day: int, name: claims.Name) -> str:
+def make_key(day: int, name: claims.RequestName) -> str:
     """Return where the claim of a name stands."""
     return f"{PREFIX}/{day}/{claims.hash_name(name)}"
 
--- a/celeryspan/services/repeats.py
+++ b/celeryspan/services/repeats.py
@@ -54,9 +54,9 @@
     return answer.body
 
 
-def make_refusal(verdict: claims.Verdict) -> errors.NotRun:
+def make_refusal(verdict: claims.Decision) -> errors.NotRun:
     """Return the refusal of a name that can't be used."""
-    if verdict is claims.Verdict.FULL:
+    if verdict is claims.Decision.FULL:
         return errors.NotRun(
             "this router can't remember more requests",
             code="records-full",
