--- a/celeryspan/daemons/quarantine.py
+++ b/celeryspan/daemons/quarantine.py
@@ -127,7 +127,7 @@
             max(strike.at_ms for strike in strikes) / 1000, datetime.UTC
         )
         table.add_row(
-            fingerprints.format_whole(suspect.whole),
+            fingerprints.format_fingerprint(suspect.whole),
             known.find_standing(suspect.whole).value,
             f"{since:%Y-%m-%d %H:%M:%S} UTC",
             ", ".join(str(strike.run_ms) for strike in strikes),
--- a/celeryspan/decisions/fingerprints.py
+++ b/celeryspan/decisions/fingerprints.py
@@ -33,7 +33,7 @@
     whole: int
 
     def __str__(self) -> str:
-        return format_whole(self.whole)
+        return format_fingerprint(self.whole)
 
 
 class Fingerprinter:
@@ -48,11 +48,11 @@
     def __init__(self, key: str) -> None:
         self._key = hashlib.sha512(key.encode()).digest()[:KEY_BYTES_MAX]
 
-    def find_scope(self, host: str, target: bytes, account: str) -> int:
+    def compute_scope(self, host: str, target: bytes, account: str) -> int:
         """Return the hash of what stands before the body."""
         return self._hash(host.encode(), target, account.encode())
 
-    def make(
+    def compute(
         self, host: str, target: bytes, account: str, method: str, body: bytes
     ) -> Fingerprint:
         """Return the fingerprint of a request.
@@ -62,7 +62,7 @@
         target : bytes
             Path and query, as the caller wrote them.
         """
-        scope = self.find_scope(host, target, account)
+        scope = self.compute_scope(host, target, account)
         text = scope.to_bytes(FINGERPRINT_BYTES, "big")
         return Fingerprint(scope, self._hash(text, method.encode(), body))
 
@@ -75,6 +75,6 @@
         return int.from_bytes(found.digest(), "big")
 
 
-def format_whole(whole: int) -> str:
+def format_fingerprint(whole: int) -> str:
     """Return a fingerprint as logs and operators write it."""
     return f"{whole:0{2 * FINGERPRINT_BYTES}x}"
--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -60,13 +60,13 @@
 
     def find_scope(self, order: orders.Order) -> int:
         """Return the hash of what stands before the body of a request."""
-        return self._fingerprinter.find_scope(
+        return self._fingerprinter.compute_scope(
             order.route.host, order.target, order.account or ""
         )
 
     def make_fingerprint(self, order: orders.Order) -> fingerprints.Fingerprint:
         """Return what identifies a request beside its id."""
-        return self._fingerprinter.make(
+        return self._fingerprinter.compute(
             order.route.host,
             order.target,
             order.account or "",
--- a/celeryspan/gateway/quarantines.py
+++ b/celeryspan/gateway/quarantines.py
@@ -364,7 +364,7 @@
     strikes = quarantine.list_strikes(change.suspect)
     events.log(
         event,
-        fingerprint=fingerprints.format_whole(change.suspect.whole),
+        fingerprint=fingerprints.format_fingerprint(change.suspect.whole),
         before=change.before.value,
         after=change.after.value,
         crashes=[strike.crash for strike in strikes],
--- a/celeryspan/platform/quarantine.py
+++ b/celeryspan/platform/quarantine.py
@@ -15,8 +15,8 @@
     return {
         "requests": [
             {
-                "fingerprint": fingerprints.format_whole(suspect.whole),
-                "scope": fingerprints.format_whole(suspect.scope),
+                "fingerprint": fingerprints.format_fingerprint(suspect.whole),
+                "scope": fingerprints.format_fingerprint(suspect.scope),
                 "acquitted_ms": suspect.acquitted_ms,
                 # Lists, since the names of fields would be most of the object.
                 "crashes": [
--- a/tests/decisions/test_fingerprints.py
+++ b/tests/decisions/test_fingerprints.py
@@ -11,7 +11,7 @@
 
 def make(*fields: object, key: str = "fleet") -> fingerprints.Fingerprint:
     """Return the fingerprint of some fields."""
-    return fingerprints.Fingerprinter(key).make(*fields)
+    return fingerprints.Fingerprinter(key).compute(*fields)
 
 
 def test_copies_of_a_request_have_one_fingerprint() -> None:
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -27,7 +27,7 @@
 
 def fingerprint(router: support.Router, body: bytes, path: str = "/bookings/1"):
     """Return the fingerprint of a request of the tests' account."""
-    return router.box.find("crashwatch")._fingerprinter.make(
+    return router.box.find("crashwatch")._fingerprinter.compute(
         support.HOST, path.encode(), support.ACCOUNT, "POST", body
     )
 
