--- a/celeryspan/decisions/crashes.py
+++ b/celeryspan/decisions/crashes.py
@@ -17,14 +17,14 @@
 from celeryspan import catalog, ids
 from celeryspan.decisions import fingerprints
 
-PENDING_SECONDS = 8.0
+EVIDENCE_TIMEOUT_SECONDS = 8.0
 """How long a loss waits for evidence: entries of crashed servers lapse after some
 heartbeats."""
 
-SOUND_SECONDS = 0.5
+HEALTHY_SECONDS = 0.5
 """How long a server that has accepted a connection counts as sound."""
 
-REMEMBERED_SECONDS = 30.0
+CRASH_RETENTION_SECONDS = 30.0
 """How long a crash is remembered for runs whose end is noticed late."""
 
 FindEntry = Callable[[ids.ServerId], catalog.ServerEntry | None]
@@ -71,7 +71,7 @@
     runs: tuple[LostRun, ...]
 
 
-class _Case(msgspec.Struct):
+class _PendingLosses(msgspec.Struct):
     """Losses at one server that wait for evidence."""
 
     entry: catalog.ServerEntry
@@ -83,48 +83,50 @@
     """Collects losses and evidence by the incarnations of servers."""
 
     def __init__(self) -> None:
-        self._cases: dict[str, _Case] = {}
-        self._sound_until: dict[str, float] = {}
-        self._crashed: dict[str, float] = {}
+        self._pending: dict[str, _PendingLosses] = {}
+        self._healthy_until: dict[str, float] = {}
+        self._crashed_at: dict[str, float] = {}
 
     def add_loss(self, run: LostRun, now: float) -> Crash | None:
         """Take in a lost run; returns the crash if it is known already."""
         self._expire(now)
-        name = name_incarnation(run.entry)
-        if name in self._crashed:
+        name = format_incarnation(run.entry)
+        if name in self._crashed_at:
             return Crash(name, run.entry.server, Evidence.REPORTED, (run,))
-        if now < self._sound_until.get(name, 0.0):
+        if now < self._healthy_until.get(name, 0.0):
             return None
-        case = self._cases.setdefault(name, _Case(run.entry, now))
+        case = self._pending.setdefault(name, _PendingLosses(run.entry, now))
         case.runs.append(run)
         return None
 
     def is_pending(self, name: str) -> bool:
         """Whether losses at an incarnation of a server wait for evidence."""
-        return name in self._cases
+        return name in self._pending
 
-    def accept(self, entry: catalog.ServerEntry, now: float) -> None:
+    def record_accepted_connection(
+        self, entry: catalog.ServerEntry, now: float
+    ) -> None:
         """Note that a server has accepted a connection: it has not crashed."""
-        name = name_incarnation(entry)
-        self._cases.pop(name, None)
-        self._sound_until[name] = now + SOUND_SECONDS
+        name = format_incarnation(entry)
+        self._pending.pop(name, None)
+        self._healthy_until[name] = now + HEALTHY_SECONDS
 
     def confirm(self, name: str, evidence: Evidence, now: float) -> Crash | None:
         """Note that a server has crashed; returns the crash if runs were lost here."""
-        self._crashed[name] = now
-        case = self._cases.pop(name, None)
+        self._crashed_at[name] = now
+        case = self._pending.pop(name, None)
         if case is None:
             return None
         return Crash(name, case.entry.server, evidence, tuple(case.runs))
 
-    def follow(self, find: FindEntry, now: float) -> list[Crash]:
+    def check_entries(self, find: FindEntry, now: float) -> list[Crash]:
         """Compare what waits with the entries of servers, those that leave included."""
         self._expire(now)
         found = []
-        for name, case in list(self._cases.items()):
+        for name, case in list(self._pending.items()):
             entry = find(case.entry.server)
             if entry is not None and entry.is_leaving:
-                del self._cases[name]
+                del self._pending[name]
             elif entry is None:
                 found.append(self.confirm(name, Evidence.LAPSED, now))
             elif entry.succeeds(case.entry):
@@ -132,17 +134,17 @@
         return [crash for crash in found if crash is not None]
 
     def _expire(self, now: float) -> None:
-        for name, case in list(self._cases.items()):
-            if now - case.since > PENDING_SECONDS:
-                del self._cases[name]
-        for name, at in list(self._crashed.items()):
-            if now - at > REMEMBERED_SECONDS:
-                del self._crashed[name]
-        for name, until in list(self._sound_until.items()):
+        for name, case in list(self._pending.items()):
+            if now - case.since > EVIDENCE_TIMEOUT_SECONDS:
+                del self._pending[name]
+        for name, at in list(self._crashed_at.items()):
+            if now - at > CRASH_RETENTION_SECONDS:
+                del self._crashed_at[name]
+        for name, until in list(self._healthy_until.items()):
             if now >= until:
-                del self._sound_until[name]
+                del self._healthy_until[name]
 
 
-def name_incarnation(entry: catalog.ServerEntry) -> str:
+def format_incarnation(entry: catalog.ServerEntry) -> str:
     """Return the name of one incarnation of a server."""
     return f"{entry.server}@{entry.started_ms or 0}"
--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -115,7 +115,7 @@
     def wait_settled(self, entry: catalog.ServerEntry) -> None:
         """Wait until it is known whether a server has crashed, if it is being asked."""
         with self._lock:
-            probe = self._probes.get(crashes.name_incarnation(entry))
+            probe = self._probes.get(crashes.format_incarnation(entry))
         if probe is not None:
             probe.wait(GATHER_SECONDS + 2 * PROBE_SECONDS)
 
@@ -130,7 +130,7 @@
 
     def _begin_probe(self, entry: catalog.ServerEntry) -> None:
         """Ask a server for a connection unless it is being asked; holds the lock."""
-        name = crashes.name_incarnation(entry)
+        name = crashes.format_incarnation(entry)
         if not self._detector.is_pending(name):
             return
         if name in self._probes or len(self._probes) >= PROBES_MAX:
@@ -154,7 +154,7 @@
                     evidence = crashes.Evidence.REFUSED
                     crash = self._detector.confirm(name, evidence, now)
                 else:
-                    self._detector.accept(entry, now)
+                    self._detector.record_accepted_connection(entry, now)
         try:
             self._publish(crash)
         finally:
@@ -164,7 +164,7 @@
 
     def _follow_entries(self) -> None:
         with self._lock:
-            found = self._detector.follow(self._servers.find, time.monotonic())
+            found = self._detector.check_entries(self._servers.find, time.monotonic())
         for crash in found:
             self._publish(crash)
 
--- a/tests/decisions/test_crashes.py
+++ b/tests/decisions/test_crashes.py
@@ -32,7 +32,7 @@
     entry = make_entry()
     assert detector.add_loss(make_loss(entry, "r1"), 0.0) is None
     assert detector.add_loss(make_loss(entry, "r2"), 0.01) is None
-    name = crashes.name_incarnation(entry)
+    name = crashes.format_incarnation(entry)
     crash = detector.confirm(name, crashes.Evidence.REFUSED, 0.02)
     assert [run.request for run in crash.runs] == ["r1", "r2"]
     late = detector.add_loss(make_loss(entry, "r3"), 0.5)
@@ -45,18 +45,18 @@
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    detector.accept(entry, 0.02)
+    detector.record_accepted_connection(entry, 0.02)
     detector.add_loss(make_loss(entry), 0.03)
-    assert not detector.is_pending(crashes.name_incarnation(entry))
-    assert detector.follow(lambda _: None, 1.0) == []
+    assert not detector.is_pending(crashes.format_incarnation(entry))
+    assert detector.check_entries(lambda _: None, 1.0) == []
 
 
 def test_entry_that_lapses_shows_the_crash_of_a_silent_server() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    assert detector.follow(lambda _: entry, 1.0) == []
-    (crash,) = detector.follow(lambda _: None, 4.0)
+    assert detector.check_entries(lambda _: entry, 1.0) == []
+    (crash,) = detector.check_entries(lambda _: None, 4.0)
     assert crash.evidence is crashes.Evidence.LAPSED
 
 
@@ -64,7 +64,7 @@
     detector = crashes.CrashDetector()
     entry = make_entry(started_ms=10)
     detector.add_loss(make_loss(entry), 0.0)
-    (crash,) = detector.follow(lambda _: make_entry(started_ms=20), 2.0)
+    (crash,) = detector.check_entries(lambda _: make_entry(started_ms=20), 2.0)
     assert crash.evidence is crashes.Evidence.RESTARTED
     assert crash.name == "engine@10"
 
@@ -74,22 +74,22 @@
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    assert detector.follow(lambda _: make_entry(is_leaving=True), 1.0) == []
-    assert detector.follow(lambda _: None, 2.0) == []
+    assert detector.check_entries(lambda _: make_entry(is_leaving=True), 1.0) == []
+    assert detector.check_entries(lambda _: None, 2.0) == []
 
 
 def test_loss_without_evidence_is_forgotten() -> None:
     detector = crashes.CrashDetector()
     detector.add_loss(make_loss(make_entry()), 0.0)
-    late = crashes.PENDING_SECONDS + 0.1
-    assert detector.follow(lambda _: None, late) == []
+    late = crashes.EVIDENCE_TIMEOUT_SECONDS + 0.1
+    assert detector.check_entries(lambda _: None, late) == []
 
 
 def test_crash_that_a_peer_reports_covers_the_runs_lost_here() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    name = crashes.name_incarnation(entry)
+    name = crashes.format_incarnation(entry)
     crash = detector.confirm(name, crashes.Evidence.REPORTED, 0.1)
     assert len(crash.runs) == 1
     assert detector.confirm(name, crashes.Evidence.REFUSED, 0.2) is None
