--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -55,14 +55,14 @@
 
 @way("all with three crashes")
 def _count(known: quarantine.Quarantine, whole: int) -> Standing:
-    suspect = known.find(whole)
+    suspect = known.find_suspect(whole)
     is_held = suspect is not None and len(suspect.strikes) >= 3
     return Standing.QUARANTINED if is_held else Standing.CLEAR
 
 
 @way("answers acquit")
 def _count_unanswered(known: quarantine.Quarantine, whole: int) -> Standing:
-    suspect = known.find(whole)
+    suspect = known.find_suspect(whole)
     strikes = quarantine.list_strikes(suspect) if suspect else ()
     return Standing.QUARANTINED if len(strikes) >= 3 else Standing.CLEAR
 
@@ -239,7 +239,7 @@
         if server is None:
             self._try_later(ask)
             return
-        ask.trial = quarantine.count_trials(memory.find(ask.whole)) + 1
+        ask.trial = quarantine.count_trials(memory.find_suspect(ask.whole)) + 1
         ask.sent_at = self._now
         self._runs[server].append(ask)
         if ask.is_cause:
@@ -314,7 +314,7 @@
     def _spread(self, first: quarantine.Quarantine, word: messages.Suspect) -> None:
         """Let one router know at once, the others and the store a little later."""
         first.merge([word], self._now_ms())
-        known = first.find(word.whole)
+        known = first.find_suspect(word.whole)
         if known is None:
             return
         self._stored[word.whole] = known
--- a/celeryspan/decisions/quarantine.py
+++ b/celeryspan/decisions/quarantine.py
@@ -42,21 +42,21 @@
 PROMPT_SECONDS = 1.0
 """A crash within this time of the beginning of a run is prompt."""
 
-MEMORY_MS = 24 * 3600 * 1000
+STRIKE_RETENTION_MS = 24 * 3600 * 1000
 """How long a crash counts, in milliseconds."""
 
-ACQUITTED_MEMORY_MS = 300 * 1000
+ACQUITTED_RETENTION_MS = 300 * 1000
 """How long a request is remembered against which no crash counts: news of its crashes
 may still be on their way."""
 
-OUTDATED_STEP_MS = 60 * 1000
+EXPIRY_STEP_MS = 60 * 1000
 """Routers forget at the same moments, so that they go on to know the same."""
 
 SUSPECTS_MAX = 1_000
 """Requests remembered; of more, those with fewest and oldest strikes are forgotten by
 all routers alike, so that they go on to know the same."""
 
-WEIGHTS_MAX = 4 * SUSPECTS_MAX
+EVICTION_HEAP_MAX = 4 * SUSPECTS_MAX
 """Entries of the heap, outdated ones among them, beyond which it is built anew."""
 
 STRIKES_MAX = 6
@@ -65,7 +65,7 @@
 TRIAL_MAX = 255
 
 
-Weight = tuple[int, int]
+EvictionPriority = tuple[int, int]
 
 
 class Standing(enum.Enum):
@@ -77,7 +77,7 @@
     QUARANTINED = "quarantined"
 
 
-class Change(msgspec.Struct, frozen=True):
+class StandingChange(msgspec.Struct, frozen=True):
     """A request whose standing has changed."""
 
     suspect: messages.Suspect
@@ -95,10 +95,10 @@
     def __init__(self) -> None:
         self._suspects: dict[int, messages.Suspect] = {}
         self._standings: dict[int, Standing] = {}
-        self._convicted: dict[int, list[messages.Strike]] = {}
+        self._candidates: dict[int, list[messages.Strike]] = {}
         self._causes: frozenset[int] = frozenset()
-        self._scopes: collections.Counter[int] = collections.Counter()
-        self._weights: list[tuple[Weight, int]] = []
+        self._scope_counts: collections.Counter[int] = collections.Counter()
+        self._eviction_heap: list[tuple[EvictionPriority, int]] = []
         self._digest = 0
 
     def __len__(self) -> int:
@@ -112,17 +112,17 @@
     @property
     def is_empty(self) -> bool:
         """Whether every request is clear."""
-        return not self._scopes
+        return not self._scope_counts
 
-    def may_know(self, scope: int) -> bool:
+    def may_be_suspect(self, scope: int) -> bool:
         """Whether a request with this scope may be suspected."""
-        return scope in self._scopes
+        return scope in self._scope_counts
 
     def find_standing(self, whole: int) -> Standing:
         """Return how a request is treated."""
         return self._standings.get(whole, Standing.CLEAR)
 
-    def find(self, whole: int) -> messages.Suspect | None:
+    def find_suspect(self, whole: int) -> messages.Suspect | None:
         """Return what is known of a request, or None."""
         return self._suspects.get(whole)
 
@@ -134,13 +134,13 @@
         """Return how many requests are refused."""
         return len(self._causes)
 
-    def count(self, standing: Standing) -> int:
+    def count_by_standing(self, standing: Standing) -> int:
         """Return how many requests are treated so."""
         return sum(each is standing for each in self._standings.values())
 
     def merge(
         self, suspects: Iterable[messages.Suspect], now_ms: int
-    ) -> tuple[list[messages.Suspect], list[Change]]:
+    ) -> tuple[list[messages.Suspect], list[StandingChange]]:
         """Take in what is known elsewhere, or was just seen here.
 
         Parameters
@@ -158,24 +158,24 @@
         news: dict[int, messages.Suspect] = {}
         for suspect in suspects:
             known = self._suspects.get(suspect.whole)
-            merged = merge_suspects(known, suspect) if known else trim(suspect)
-            if merged != known and not is_outdated(merged, now_ms):
-                self._put(merged)
+            merged = merge_suspects(known, suspect) if known else trim_strikes(suspect)
+            if merged != known and not is_expired(merged, now_ms):
+                self._store(merged)
                 news[suspect.whole] = merged
         evicted = self._evict()
-        changes = self._judge([*news.values(), *evicted])
+        changes = self._update_standings([*news.values(), *evicted])
         return [each for each in news.values() if each.whole in self._suspects], changes
 
-    def expire(self, now_ms: int) -> list[Change]:
+    def expire(self, now_ms: int) -> list[StandingChange]:
         """Forget crashes that are too long ago."""
         outdated = [
             suspect
             for suspect in self._suspects.values()
-            if is_outdated(suspect, now_ms)
+            if is_expired(suspect, now_ms)
         ]
         for suspect in outdated:
-            self._drop(suspect.whole)
-        return self._judge(outdated)
+            self._remove(suspect.whole)
+        return self._update_standings(outdated)
 
     def acquit(self, whole: int) -> messages.Suspect | None:
         """Return the word that no crash known by now counts against a request.
@@ -189,48 +189,53 @@
         latest = max(strike.at_ms for strike in strikes)
         return msgspec.structs.replace(suspect, acquitted_ms=latest)
 
-    def _put(self, suspect: messages.Suspect) -> None:
-        self._drop(suspect.whole)
+    def _store(self, suspect: messages.Suspect) -> None:
+        self._remove(suspect.whole)
         self._suspects[suspect.whole] = suspect
         self._digest ^= hash_suspect(suspect)
         strikes = list_strikes(suspect)
         if strikes:
-            self._scopes[suspect.scope] += 1
-        if is_convicted(strikes):
-            self._convicted[suspect.whole] = strikes
-        heapq.heappush(self._weights, (_weigh(suspect), suspect.whole))
+            self._scope_counts[suspect.scope] += 1
+        if meets_quarantine_threshold(strikes):
+            self._candidates[suspect.whole] = strikes
+        heapq.heappush(
+            self._eviction_heap, (_compute_eviction_priority(suspect), suspect.whole)
+        )
 
-    def _drop(self, whole: int) -> None:
+    def _remove(self, whole: int) -> None:
         suspect = self._suspects.pop(whole, None)
         if suspect is None:
             return
         self._digest ^= hash_suspect(suspect)
-        self._convicted.pop(whole, None)
+        self._candidates.pop(whole, None)
         if not list_strikes(suspect):
             return
-        self._scopes[suspect.scope] -= 1
-        if not self._scopes[suspect.scope]:
-            del self._scopes[suspect.scope]
+        self._scope_counts[suspect.scope] -= 1
+        if not self._scope_counts[suspect.scope]:
+            del self._scope_counts[suspect.scope]
 
     def _evict(self) -> list[messages.Suspect]:
         """Drop the lightest of what is too much; returns it."""
         evicted = []
         while len(self._suspects) > SUSPECTS_MAX:
-            weight, whole = heapq.heappop(self._weights)
+            weight, whole = heapq.heappop(self._eviction_heap)
             suspect = self._suspects.get(whole)
-            if suspect is not None and _weigh(suspect) == weight:
-                self._drop(whole)
+            if suspect is not None and _compute_eviction_priority(suspect) == weight:
+                self._remove(whole)
                 evicted.append(suspect)
-        if len(self._weights) > WEIGHTS_MAX:
-            self._weights = [
-                (_weigh(suspect), whole) for whole, suspect in self._suspects.items()
+        if len(self._eviction_heap) > EVICTION_HEAP_MAX:
+            self._eviction_heap = [
+                (_compute_eviction_priority(suspect), whole)
+                for whole, suspect in self._suspects.items()
             ]
-            heapq.heapify(self._weights)
+            heapq.heapify(self._eviction_heap)
         return evicted
 
-    def _judge(self, touched: Iterable[messages.Suspect]) -> list[Change]:
+    def _update_standings(
+        self, touched: Iterable[messages.Suspect]
+    ) -> list[StandingChange]:
         """Work out the standing of requests of which something has changed."""
-        causes = frozenset(find_causes(self._convicted))
+        causes = frozenset(find_causes(self._candidates))
         suspects = {suspect.whole: suspect for suspect in touched}
         for whole in causes ^ self._causes:
             if whole in self._suspects:
@@ -238,15 +243,15 @@
         self._causes = causes
         changes = []
         for whole, suspect in suspects.items():
-            before, now = self.find_standing(whole), self._work_out(whole)
+            before, now = self.find_standing(whole), self._compute_standing(whole)
             self._standings[whole] = now
             if now is Standing.CLEAR:
                 del self._standings[whole]
             if before is not now:
-                changes.append(Change(suspect, before, now))
+                changes.append(StandingChange(suspect, before, now))
         return changes
 
-    def _work_out(self, whole: int) -> Standing:
+    def _compute_standing(self, whole: int) -> Standing:
         if whole in self._causes:
             return Standing.QUARANTINED
         suspect = self._suspects.get(whole)
@@ -270,11 +275,11 @@
     return messages.Suspect(fingerprint.scope, fingerprint.whole, 0, (strike,))
 
 
-def is_outdated(suspect: messages.Suspect, now_ms: int) -> bool:
+def is_expired(suspect: messages.Suspect, now_ms: int) -> bool:
     """Whether a request may be forgotten."""
     latest = max(strike.at_ms for strike in suspect.strikes)
-    memory_ms = MEMORY_MS if list_strikes(suspect) else ACQUITTED_MEMORY_MS
-    return latest + memory_ms < now_ms - now_ms % OUTDATED_STEP_MS
+    memory_ms = STRIKE_RETENTION_MS if list_strikes(suspect) else ACQUITTED_RETENTION_MS
+    return latest + memory_ms < now_ms - now_ms % EXPIRY_STEP_MS
 
 
 def list_strikes(suspect: messages.Suspect) -> list[messages.Strike]:
@@ -294,7 +299,7 @@
     for strike in other.strikes:
         known = strikes.get(strike.crash)
         strikes[strike.crash] = _merge_strikes(known, strike) if known else strike
-    return trim(
+    return trim_strikes(
         messages.Suspect(
             one.scope,
             one.whole,
@@ -304,7 +309,7 @@
     )
 
 
-def trim(suspect: messages.Suspect) -> messages.Suspect:
+def trim_strikes(suspect: messages.Suspect) -> messages.Suspect:
     """Return a suspect with its newest strikes in order."""
     strikes = sorted(suspect.strikes, key=lambda each: (each.at_ms, each.crash))
     return msgspec.structs.replace(suspect, strikes=tuple(strikes[-STRIKES_MAX:]))
@@ -318,20 +323,22 @@
     open_strikes = dict(strikes)
     causes: list[int] = []
     while open_strikes:
-        cause = min(open_strikes, key=lambda whole: _rank(whole, open_strikes[whole]))
+        cause = min(
+            open_strikes, key=lambda whole: _make_blame_key(whole, open_strikes[whole])
+        )
         causes.append(cause)
         explained = {strike.crash for strike in strikes[cause]}
         open_strikes = {
             whole: left
             for whole, found in open_strikes.items()
-            if is_convicted(
+            if meets_quarantine_threshold(
                 left := [each for each in found if each.crash not in explained]
             )
         }
     return causes
 
 
-def is_convicted(strikes: list[messages.Strike]) -> bool:
+def meets_quarantine_threshold(strikes: list[messages.Strike]) -> bool:
     """Whether so many crashes can't be chance."""
     trials = max((strike.trial for strike in strikes), default=0)
     return count_points(strikes) >= QUARANTINE_POINTS and trials >= QUARANTINE_TRIALS
@@ -355,7 +362,9 @@
     return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(suspect))
 
 
-def _rank(whole: int, strikes: list[messages.Strike]) -> tuple[float, float, int]:
+def _make_blame_key(
+    whole: int, strikes: list[messages.Strike]
+) -> tuple[float, float, int]:
     """Return the order in which requests are blamed; the least is first."""
     mean_ms = sum(strike.run_ms for strike in strikes) / len(strikes)
     return -count_points(strikes), mean_ms, whole
@@ -371,7 +380,7 @@
     )
 
 
-def _weigh(suspect: messages.Suspect) -> Weight:
+def _compute_eviction_priority(suspect: messages.Suspect) -> EvictionPriority:
     """Return what decides which suspects are forgotten first."""
     latest = max(strike.at_ms for strike in suspect.strikes)
     return len(list_strikes(suspect)), latest
--- a/celeryspan/gateway/quarantines.py
+++ b/celeryspan/gateway/quarantines.py
@@ -44,7 +44,7 @@
 STORED = "stored"
 """Key of the fact that what is known is in the store."""
 
-Handler = Callable[[list[quarantine.Change]], None]
+Handler = Callable[[list[quarantine.StandingChange]], None]
 
 
 class _Watched(msgspec.Struct):
@@ -111,7 +111,7 @@
     def report(self) -> dict[str, object]:
         """Return how many requests are treated how, for the operator."""
         return {
-            standing.value: self._quarantine.count(standing)
+            standing.value: self._quarantine.count_by_standing(standing)
             for standing in quarantine.Standing
             if standing is not quarantine.Standing.CLEAR
         }
@@ -151,7 +151,7 @@
         if known.is_empty:
             return quarantine.Standing.CLEAR
         if progress.fingerprint is None:
-            if not known.may_know(self._crashwatch.find_scope(order)):
+            if not known.may_be_suspect(self._crashwatch.find_scope(order)):
                 return quarantine.Standing.CLEAR
             progress.fingerprint = self._crashwatch.make_fingerprint(order)
         return known.find_standing(progress.fingerprint.whole)
@@ -176,7 +176,7 @@
             progress.strikes = 0
             return
         with self._lock:
-            suspect = self._quarantine.find(progress.fingerprint.whole)
+            suspect = self._quarantine.find_suspect(progress.fingerprint.whole)
             progress.strikes = quarantine.count_trials(suspect)
 
     def note_answered(
@@ -232,10 +232,10 @@
 
     def _make_refusal(self, fingerprint: fingerprints.Fingerprint) -> errors.NotRun:
         with self._lock:
-            suspect = self._quarantine.find(fingerprint.whole)
+            suspect = self._quarantine.find_suspect(fingerprint.whole)
         strikes = suspect.strikes if suspect else ()
         latest = max((strike.at_ms for strike in strikes), default=0)
-        left_ms = latest + quarantine.MEMORY_MS - read_clock_ms()
+        left_ms = latest + quarantine.STRIKE_RETENTION_MS - read_clock_ms()
         return errors.NotRun(
             f"{len(strikes)} servers crashed while they ran this request; it is sent to"
             f" none any more. Change it, or ask the operators to release {fingerprint}",
@@ -252,13 +252,13 @@
             quarantine.make_suspect(run, crash.name, now_ms) for run in crash.runs
         )
 
-    def _follow(self, changes: list[quarantine.Change]) -> None:
+    def _follow(self, changes: list[quarantine.StandingChange]) -> None:
         """Log and count what has changed, and refuse what waits and must not run."""
         for change in changes:
             log_change(change)
         if not changes:
             return
-        count = self._quarantine.count
+        count = self._quarantine.count_by_standing
         self._meters.set_suspects({each.value: count(each) for each in COUNTED})
         after = {change.after for change in changes}
         if quarantine.Standing.QUARANTINED in after:
@@ -354,7 +354,7 @@
 """Standings that have a gauge."""
 
 
-def log_change(change: quarantine.Change) -> None:
+def log_change(change: quarantine.StandingChange) -> None:
     """Log that a request is treated otherwise from now on, and why."""
     event = EVENTS.get(change.after)
     if change.before is quarantine.Standing.QUARANTINED:
--- a/celeryspan/gateway/quarantinestore.py
+++ b/celeryspan/gateway/quarantinestore.py
@@ -75,7 +75,7 @@
         self._stopped = True
         self._wake.set()
 
-    def _note_change(self, changes: list[quarantine.Change]) -> None:
+    def _note_change(self, changes: list[quarantine.StandingChange]) -> None:
         now = time.monotonic()
         restricted = {each.before for each in changes} | {
             each.after for each in changes
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -48,8 +48,8 @@
         known.merge([suspect(CAUSE, strike(f"gpu-{trial}", trial))], NOW_MS)
         standings.append(known.find_standing(CAUSE))
     assert standings == [Standing.SUSPECT, Standing.ISOLATED, Standing.QUARANTINED]
-    assert known.may_know(CAUSE + 100)
-    assert not known.may_know(OTHER + 100)
+    assert known.may_be_suspect(CAUSE + 100)
+    assert not known.may_be_suspect(OTHER + 100)
 
 
 def test_crash_that_several_routers_report_counts_once() -> None:
@@ -128,13 +128,13 @@
     first = suspect(CAUSE, *[strike(f"gpu-{t}", t) for t in range(1, 4)])
     second = suspect(OTHER, *[strike(f"gpu-{t + 3}", t) for t in range(1, 4)])
     known = learn(first, second)
-    assert known.count(Standing.QUARANTINED) == 2
+    assert known.count_by_standing(Standing.QUARANTINED) == 2
 
 
 def test_memory_ends_after_a_day() -> None:
     known = learn(suspect(CAUSE, *[strike(f"gpu-{t}", t) for t in range(1, 4)]))
-    assert known.expire(NOW_MS + quarantine.MEMORY_MS) == []
-    late_ms = NOW_MS + quarantine.MEMORY_MS + 2 * quarantine.OUTDATED_STEP_MS
+    assert known.expire(NOW_MS + quarantine.STRIKE_RETENTION_MS) == []
+    late_ms = NOW_MS + quarantine.STRIKE_RETENTION_MS + 2 * quarantine.EXPIRY_STEP_MS
     (change,) = known.expire(late_ms)
     assert change.after is Standing.CLEAR
     assert len(known) == 0
@@ -145,7 +145,7 @@
     """Guards against a memory that fills with innocents."""
     word = suspect(CAUSE, strike("gpu-1"), acquitted_ms=NOW_MS)
     known = learn(word)
-    late_ms = NOW_MS + quarantine.ACQUITTED_MEMORY_MS + 2 * quarantine.OUTDATED_STEP_MS
+    late_ms = NOW_MS + quarantine.ACQUITTED_RETENTION_MS + 2 * quarantine.EXPIRY_STEP_MS
     assert known.expire(late_ms) == []
     assert len(known) == 0
     assert known.merge([word], late_ms) == ([], [])
@@ -276,7 +276,7 @@
                 name, names[number] = names[number], f"gpu-{next(lives)}"
                 for each, since, _ in lost:
                     run_ms = now_ms - since
-                    trial = quarantine.count_trials(known.find(each)) + 1
+                    trial = quarantine.count_trials(known.find_suspect(each)) + 1
                     seen = strike(name, trial, now_ms, run_ms, is_prompt=run_ms <= 2000)
                     known.merge([suspect(each, seen)], NOW_MS)
                     if each != CAUSE:
