--- a/celeryspan/decisions/busyness.py
+++ b/celeryspan/decisions/busyness.py
@@ -34,7 +34,7 @@
 
     def note(self, lateness: float, now: float) -> bool:
         """Take in the mean lateness, in seconds; returns whether the word changes."""
-        late = lateness > overload.LATE_SECONDS
+        late = lateness > overload.LATENESS_HIGH_SECONDS
         differs = not late if self.is_busy else late
         if not differs:
             self._since = None
--- a/celeryspan/decisions/overload.py
+++ b/celeryspan/decisions/overload.py
@@ -14,23 +14,23 @@
 
 from __future__ import annotations
 
-LATE_SECONDS = 0.06
+LATENESS_HIGH_SECONDS = 0.06
 """Lateness at which fewer requests are taken: a fifth of the pause that streams may
 make; some ten threads that run for 5 ms each before this one."""
 
-CALM_SECONDS = 0.02
+LATENESS_LOW_SECONDS = 0.02
 """Lateness below which more may be taken."""
 
-LATE_SECONDS_MAX = 0.25
+LATENESS_SAMPLE_MAX_SECONDS = 0.25
 """More than this counts as this: a VM that was paused for seconds is not overloaded."""
 
-MEMORY = 0.2
+LATENESS_EWMA_WEIGHT = 0.2
 """Weight of the newest lateness in the mean: the last five count, half a second."""
 
-DECREASE = 0.85
+DECREASE_FACTOR = 0.85
 """Part to which the limit falls."""
 
-PAUSE_SECONDS = 0.5
+DECREASE_INTERVAL_SECONDS = 0.5
 """Time between two falls: most streams that were taken too many end within it or soon
 after."""
 
@@ -41,7 +41,7 @@
 """Requests that are taken in any case: those of one second on a slow VM."""
 
 
-class Overload:
+class ConcurrencyLimiter:
     """The limit of requests in progress of one router.
 
     Parameters
@@ -55,32 +55,32 @@
         Mean lateness of late, in seconds.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, limit_max: int) -> None:
         self.lateness = 0.0
-        self._most = float(most)
-        self._limit = float(most)
-        self._fell_at = float("-inf")
-        self._noted_at: float | None = None
+        self._limit_max = float(limit_max)
+        self._limit = float(limit_max)
+        self._decreased_at = float("-inf")
+        self._recorded_at: float | None = None
 
     @property
     def limit(self) -> int:
         """Requests that may be in progress."""
         return int(self._limit)
 
-    def note(self, lateness: float, in_progress: int, now: float) -> None:
+    def record(self, lateness: float, in_progress: int, now: float) -> None:
         """Take in by how much a sleep was too long, in seconds."""
-        elapsed = 0.0 if self._noted_at is None else now - self._noted_at
-        self._noted_at = now
-        seen = min(lateness, LATE_SECONDS_MAX)
-        self.lateness += (seen - self.lateness) * MEMORY
-        if self.lateness > LATE_SECONDS:
-            if now - self._fell_at >= PAUSE_SECONDS:
-                self._fell_at = now
+        elapsed = 0.0 if self._recorded_at is None else now - self._recorded_at
+        self._recorded_at = now
+        seen = min(lateness, LATENESS_SAMPLE_MAX_SECONDS)
+        self.lateness += (seen - self.lateness) * LATENESS_EWMA_WEIGHT
+        if self.lateness > LATENESS_HIGH_SECONDS:
+            if now - self._decreased_at >= DECREASE_INTERVAL_SECONDS:
+                self._decreased_at = now
                 taken = min(self._limit, float(in_progress))
-                self._limit = max(LIMIT_MIN, taken * DECREASE)
-        elif self.lateness < CALM_SECONDS:
+                self._limit = max(LIMIT_MIN, taken * DECREASE_FACTOR)
+        elif self.lateness < LATENESS_LOW_SECONDS:
             risen = self._limit + elapsed * INCREASE_PER_SECOND
-            self._limit = min(self._most, risen)
+            self._limit = min(self._limit_max, risen)
 
     def admits(self, in_progress: int) -> bool:
         """Whether one more request may be taken."""
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -107,7 +107,7 @@
         self._random = random.Random(f"{box.settings.router} {time.time_ns()}")
         self._lock = threading.Lock()
         self._in_progress: dict[int, orders.Order | None] = {}
-        self._overload = overload.Overload(self._settings.caller_threads)
+        self._overload = overload.ConcurrencyLimiter(self._settings.caller_threads)
         self._busyness = busyness.Busyness()
         self._stopped = threading.Event()
         self.draining = False
@@ -310,7 +310,7 @@
             time.sleep(LATENESS_TICK_SECONDS)
             now = time.monotonic()
             late = now - began - LATENESS_TICK_SECONDS
-            self._overload.note(late, self.count(), now)
+            self._overload.record(late, self.count(), now)
             if self._busyness.note(self._overload.lateness, now):
                 self._membership.set_busy(self._busyness.is_busy)
             limit = self._overload.limit
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, cost: float, refusal: float = 0.001) -> None:
-        self.control = overload.Overload(MOST)
+        self.control = overload.ConcurrencyLimiter(MOST)
         self.in_progress: collections.deque[list[float]] = collections.deque()
         self.served = self.refused = self.late = 0
         self._cost = cost
@@ -38,7 +38,7 @@
             for _ in range(int(rate * TICK + generator.random())):
                 self._take(now)
             self._run(now)
-            self.control.note(max(0.0, self._debt), len(self.in_progress), now)
+            self.control.record(max(0.0, self._debt), len(self.in_progress), now)
 
     def _take(self, now: float) -> None:
         if not self.control.admits(len(self.in_progress)):
@@ -80,24 +80,24 @@
 
 
 def test_short_hiccup_lowers_the_limit_once() -> None:
-    control = overload.Overload(MOST)
+    control = overload.ConcurrencyLimiter(MOST)
     for tick in range(6):
-        control.note(0.4, 200, tick * TICK)
-    assert control.limit == int(200 * overload.DECREASE)
+        control.record(0.4, 200, tick * TICK)
+    assert control.limit == int(200 * overload.DECREASE_FACTOR)
 
 
 def test_limit_recovers_after_a_peak() -> None:
-    control = overload.Overload(MOST)
+    control = overload.ConcurrencyLimiter(MOST)
     for tick in range(400):
-        control.note(0.5, 100, tick * TICK)
+        control.record(0.5, 100, tick * TICK)
     assert control.limit == overload.LIMIT_MIN
     for tick in range(400, 1200):
-        control.note(0.001, 10, tick * TICK)
+        control.record(0.001, 10, tick * TICK)
     assert control.limit == MOST
 
 
 def test_limit_leaves_some_room_whatever_happens() -> None:
-    control = overload.Overload(MOST)
+    control = overload.ConcurrencyLimiter(MOST)
     for tick in range(4000):
-        control.note(3.0, 0, tick * TICK)
+        control.record(3.0, 0, tick * TICK)
     assert control.admits(overload.LIMIT_MIN - 1)
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -69,7 +69,9 @@
     """Return a router that takes no request more, and its server."""
     server = place.add_server("gate-1")
     router = place.start_router()
-    monkeypatch.setattr(overload.Overload, "admits", lambda self, count: False)
+    monkeypatch.setattr(
+        overload.ConcurrencyLimiter, "admits", lambda self, count: False
+    )
     return router, server
 
 
