--- a/celeryspan/decisions/busyness.py
+++ b/celeryspan/decisions/busyness.py
@@ -12,14 +12,14 @@
 
 from celeryspan.decisions import overload
 
-BUSY_SECONDS = 0.5
+BUSY_AFTER_SECONDS = 0.5
 """How long threads must run late: one pause is no load."""
 
-CALM_SECONDS = 10.0
+RECOVERED_AFTER_SECONDS = 10.0
 """How long they must not: floods come in waves."""
 
 
-class Busyness:
+class BusyDetector:
     """Whether one router is busy, by how late its threads run.
 
     Attributes
@@ -30,18 +30,20 @@
 
     def __init__(self) -> None:
         self.is_busy = False
-        self._since: float | None = None
+        self._changing_since: float | None = None
 
-    def note(self, lateness: float, now: float) -> bool:
+    def record(self, lateness: float, now: float) -> bool:
         """Take in the mean lateness, in seconds; returns whether the word changes."""
         late = lateness > overload.LATENESS_HIGH_SECONDS
         differs = not late if self.is_busy else late
         if not differs:
-            self._since = None
+            self._changing_since = None
             return False
-        if self._since is None:
-            self._since = now
-        if now - self._since < (CALM_SECONDS if self.is_busy else BUSY_SECONDS):
+        if self._changing_since is None:
+            self._changing_since = now
+        if now - self._changing_since < (
+            RECOVERED_AFTER_SECONDS if self.is_busy else BUSY_AFTER_SECONDS
+        ):
             return False
-        self.is_busy, self._since = not self.is_busy, None
+        self.is_busy, self._changing_since = not self.is_busy, None
         return True
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -108,7 +108,7 @@
         self._lock = threading.Lock()
         self._in_progress: dict[int, orders.Order | None] = {}
         self._overload = overload.ConcurrencyLimiter(self._settings.caller_threads)
-        self._busyness = busyness.Busyness()
+        self._busyness = busyness.BusyDetector()
         self._stopped = threading.Event()
         self.draining = False
         self.refusing = False
@@ -311,7 +311,7 @@
             now = time.monotonic()
             late = now - began - LATENESS_TICK_SECONDS
             self._overload.record(late, self.count(), now)
-            if self._busyness.note(self._overload.lateness, now):
+            if self._busyness.record(self._overload.lateness, now):
                 self._membership.set_busy(self._busyness.is_busy)
             limit = self._overload.limit
             if limit != before or now - counted_at >= COUNT_SECONDS:
