--- a/celeryspan/decisions/descriptors.py
+++ b/celeryspan/decisions/descriptors.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-RESERVED = 200
+RESERVED_MAX = 200
 """For files, the log, the store and the poll objects: the platform counts as many."""
 
 RESERVED_SHARE = 0.25
@@ -37,10 +37,10 @@
 """For each of the directory's listeners. A question takes milliseconds; 195 of 4,100
 are enough for 1,000 a second that are kept for a fifth of a second."""
 
-NOTICE_SHARE = 0.75
+CLOSE_NOTICE_SHARE = 0.75
 """Part of a bound from which answers announce the end of their connections."""
 
-GIVEN_UP_SHARE = 0.0625
+CLOSED_SHARE = 0.0625
 """Part of a bound that is freed at once: choosing looks at all connections, and takes
 0.23 ms of a core at 1,365 of them and 3.5 ms at 20,000."""
 
@@ -68,7 +68,7 @@
 
 def divide(descriptors: int) -> Budget:
     """Return how many descriptors each use may have, of all that there may be."""
-    reserved = min(RESERVED, int(descriptors * RESERVED_SHARE))
+    reserved = min(RESERVED_MAX, int(descriptors * RESERVED_SHARE))
     free = descriptors - reserved
     return Budget(
         callers=max(1, int(free * CALLERS_SHARE)),
@@ -77,12 +77,12 @@
     )
 
 
-def count_given_up(bound: int) -> int:
+def count_connections_to_close(bound: int) -> int:
     """Return how many connections are given up at once at a bound."""
-    return max(1, int(bound * GIVEN_UP_SHARE))
+    return max(1, int(bound * CLOSED_SHARE))
 
 
-def choose_given_up(holders: Sequence[Hashable], count: int) -> list[int]:
+def select_connections_to_close(holders: Sequence[Hashable], count: int) -> list[int]:
     """Return the places of the connections to give up.
 
     Parameters
@@ -93,7 +93,7 @@
         How many to choose, if there are as many.
     """
     left = collections.Counter(holders)
-    level = _find_level(list(left.values()), max(0, len(holders) - count))
+    level = _find_cap(list(left.values()), max(0, len(holders) - count))
     chosen: set[int] = set()
     # What doesn't divide evenly is left to the holders whose connections are newest.
     for most in (level + 1, level):
@@ -106,7 +106,7 @@
     return sorted(chosen)
 
 
-def _find_level(held: list[int], target: int) -> int:
+def _find_cap(held: list[int], target: int) -> int:
     """Return the number to which holders are cut so that ``target`` are left."""
     level = 0
     held.sort()
--- a/celeryspan/services/callerconnections.py
+++ b/celeryspan/services/callerconnections.py
@@ -91,9 +91,12 @@
             for descriptor, connection in self._selector.connections
             if connection is not self.server
         ]
-        count = descriptors.count_given_up(self._bound)
+        count = descriptors.count_connections_to_close(self._bound)
         holders = [connection.remote_addr for _, connection in idle]
-        chosen = [idle[place] for place in descriptors.choose_given_up(holders, count)]
+        chosen = [
+            idle[place]
+            for place in descriptors.select_connections_to_close(holders, count)
+        ]
         quiet = _find_quiet([descriptor for descriptor, _ in chosen])
         for descriptor, connection in chosen:
             if descriptor in quiet:
--- a/celeryspan/services/httpserver.py
+++ b/celeryspan/services/httpserver.py
@@ -265,7 +265,9 @@
             connections_max = callerconnections.divide().callers
         self._connections_max = connections_max
         # Above it answers announce the end of their connections.
-        self.keep_alive_conn_limit = int(connections_max * descriptors.NOTICE_SHARE)
+        self.keep_alive_conn_limit = int(
+            connections_max * descriptors.CLOSE_NOTICE_SHARE
+        )
         self._log = log
         self._throttle = logthrottle.Throttle()
         self._thread: threading.Thread | None = None
--- a/tests/decisions/test_descriptors.py
+++ b/tests/decisions/test_descriptors.py
@@ -23,7 +23,7 @@
     allowed = 4100
     budget = descriptors.divide(allowed)
     used = budget.callers + 2 * budget.listener + budget.servers
-    assert allowed - descriptors.RESERVED - used >= 1300
+    assert allowed - descriptors.RESERVED_MAX - used >= 1300
 
 
 def test_caller_with_thousands_gives_up_before_one_with_few() -> None:
@@ -33,17 +33,17 @@
     meet a closed connection at its next request.
     """
     held = ["calm", "calm"] + ["flood"] * 1000
-    chosen = descriptors.choose_given_up(held, 100)
+    chosen = descriptors.select_connections_to_close(held, 100)
     assert chosen == list(range(2, 102))
 
 
 def test_oldest_goes_first_within_one_holder() -> None:
-    assert descriptors.choose_given_up(["a", "b", "a", "a"], 1) == [0]
+    assert descriptors.select_connections_to_close(["a", "b", "a", "a"], 1) == [0]
 
 
 def test_holders_are_cut_to_the_same_number() -> None:
     held = ["a"] * 10 + ["b"] * 6 + ["c"] * 2
-    chosen = descriptors.choose_given_up(held, 9)
+    chosen = descriptors.select_connections_to_close(held, 9)
     left = collections.Counter(held)
     left.subtract(held[place] for place in chosen)
     assert sorted(left.values()) == [2, 3, 4] or sorted(left.values()) == [2, 3, 3]
@@ -53,7 +53,7 @@
 def test_as_many_as_asked_for_are_chosen_and_no_holder_more_than_another(
     held: list[str], count: int
 ) -> None:
-    chosen = descriptors.choose_given_up(held, count)
+    chosen = descriptors.select_connections_to_close(held, count)
     assert len(chosen) == min(count, len(held))
     assert chosen == sorted(set(chosen))
     before = collections.Counter(held)
