--- a/celeryspan/decisions/quarantine.py
+++ b/celeryspan/decisions/quarantine.py
@@ -1,19 +1,21 @@
-"""Which requests crash the servers that run them, and get no server any more.
-
-One request that crashes each server that begins to run it comes again and again, each
-time under another id and by another router. Without a memory of what ran on crashed
-servers it takes a service away from everybody.
-
-* Each request that ran on a crashed server gets a strike. Most of them only ran beside
-  the cause: an answer by a server, at any time after, acquits a request.
-* After two prompt crashes a request runs alone of its kind and beside no other such
-  request (isolation, kept by the homes of pools), so that the next has one cause.
-* After three a request is in quarantine and is refused. Who ran beside it is not
-  blamed for those crashes: the fewest requests that explain all crashes are held.
-* Servers that crash together, as in a loss of power, are one trial: a popular request
-  runs on many of them, and has had no time to be acquitted.
-
-What is known merges in any order, so that routers agree without asking each other.
+"""Tracks requests that crash the servers that run them, and quarantines them.
+
+A request that crashes every server that starts it is usually resubmitted, each time
+under a new id and through another router. Unless routers remember what ran on crashed
+servers, one such request takes a whole service down.
+
+* Every request that ran on a crashed server gets a strike. Most of them only ran next
+  to the cause, so a request is acquitted as soon as any server answers it.
+* After two prompt crashes a request is isolated: the pool homes run one copy of it at a
+  time and never two isolated requests on the same server, so that the next crash can
+  only be blamed on one of them.
+* After three it is quarantined: routers refuse it. Requests that ran next to it are not
+  blamed for its crashes, since only the fewest requests that explain all crashes are
+  quarantined.
+* Servers that crash together, for example in a power failure, count as one trial. A
+  popular request runs on many of them and has had no time to be acquitted.
+
+Merging is commutative and idempotent, so routers converge without coordination.
 """
 
 from __future__ import annotations
@@ -33,34 +35,36 @@
 LATE_POINTS = 1
 ISOLATION_POINTS = 4
 QUARANTINE_POINTS = 6
-"""Two and three prompt crashes. A run that had worked for a while before its server
-crashed is less likely the cause, and counts half."""
+"""Two prompt crashes isolate a request and three quarantine it. A run that had worked
+for a while before its server crashed is less likely to be the cause and counts half."""
 
 QUARANTINE_TRIALS = 2
-"""Least number of trials, so that servers which crash at once convict nobody."""
+"""Minimum number of trials, so that simultaneous crashes never suffice to quarantine a
+request."""
 
 PROMPT_SECONDS = 1.0
-"""A crash within this time of the beginning of a run is prompt."""
+"""A crash is prompt if it follows the start of a run within this time."""
 
 STRIKE_RETENTION_MS = 24 * 3600 * 1000
-"""How long a crash counts, in milliseconds."""
+"""How long a crash counts against a request, in milliseconds."""
 
 ACQUITTED_RETENTION_MS = 300 * 1000
-"""How long a request is remembered against which no crash counts: news of its crashes
-may still be on their way."""
+"""How long an acquitted request is remembered, in milliseconds: messages about its
+crashes may still be in flight."""
 
 EXPIRY_STEP_MS = 60 * 1000
-"""Routers forget at the same moments, so that they go on to know the same."""
+"""Expiry times are rounded to this step, so that all routers expire a suspect at the
+same moment and their states stay equal."""
 
 SUSPECTS_MAX = 1_000
-"""Requests remembered; of more, those with fewest and oldest strikes are forgotten by
-all routers alike, so that they go on to know the same."""
+"""Maximum number of suspects. Beyond it those with the fewest and oldest strikes are
+evicted, in the same order on all routers, so that their states stay equal."""
 
 EVICTION_HEAP_MAX = 4 * SUSPECTS_MAX
-"""Entries of the heap, outdated ones among them, beyond which it is built anew."""
+"""Number of heap entries, stale ones included, beyond which the heap is rebuilt."""
 
 STRIKES_MAX = 6
-"""Newest strikes remembered of one request."""
+"""Maximum number of strikes kept for each suspect; the newest are kept."""
 
 TRIAL_MAX = 255
 
@@ -86,10 +90,9 @@
 
 
 class Quarantine:
-    """All requests under which servers have crashed, as one router knows them.
+    """One router's record of all requests that ran on crashed servers.
 
-    Not safe for several threads at once but for :meth:`find_standing` and
-    :meth:`may_know`.
+    Not thread-safe, except for :meth:`find_standing` and :meth:`may_be_suspect`.
     """
 
     def __init__(self) -> None:
@@ -106,7 +109,7 @@
 
     @property
     def digest(self) -> int:
-        """A hash of all that is known; 0 if that is nothing."""
+        """Hash of all suspects; 0 if there are none."""
         return self._digest
 
     @property
@@ -115,33 +118,33 @@
         return not self._scope_counts
 
     def may_be_suspect(self, scope: int) -> bool:
-        """Whether a request with this scope may be suspected."""
+        """Return whether any request with this scope has strikes that count."""
         return scope in self._scope_counts
 
     def find_standing(self, whole: int) -> Standing:
-        """Return how a request is treated."""
+        """Return the standing of a request."""
         return self._standings.get(whole, Standing.CLEAR)
 
     def find_suspect(self, whole: int) -> messages.Suspect | None:
-        """Return what is known of a request, or None."""
+        """Return the suspect with this fingerprint, or None."""
         return self._suspects.get(whole)
 
     def list_suspects(self) -> list[messages.Suspect]:
-        """Return all that is known."""
+        """Return all suspects."""
         return list(self._suspects.values())
 
     def count_quarantined(self) -> int:
-        """Return how many requests are refused."""
+        """Return the number of quarantined requests."""
         return len(self._causes)
 
     def count_by_standing(self, standing: Standing) -> int:
-        """Return how many requests are treated so."""
+        """Return the number of requests with this standing."""
         return sum(each is standing for each in self._standings.values())
 
     def merge(
         self, suspects: Iterable[messages.Suspect], now_ms: int
     ) -> tuple[list[messages.Suspect], list[StandingChange]]:
-        """Take in what is known elsewhere, or was just seen here.
+        """Merge suspects received from other routers or recorded on this one.
 
         Parameters
         ----------
@@ -151,36 +154,38 @@
         Returns
         -------
         list of Suspect
-            What is new, as it is known now.
-        list of Change
-            Requests that are treated otherwise from now on.
+            Suspects that were added or updated, in their merged form.
+        list of StandingChange
+            Requests whose standing has changed.
         """
-        news: dict[int, messages.Suspect] = {}
+        updated: dict[int, messages.Suspect] = {}
         for suspect in suspects:
             known = self._suspects.get(suspect.whole)
             merged = merge_suspects(known, suspect) if known else trim_strikes(suspect)
             if merged != known and not is_expired(merged, now_ms):
                 self._store(merged)
-                news[suspect.whole] = merged
+                updated[suspect.whole] = merged
         evicted = self._evict()
-        changes = self._update_standings([*news.values(), *evicted])
-        return [each for each in news.values() if each.whole in self._suspects], changes
+        changes = self._update_standings([*updated.values(), *evicted])
+        kept = [each for each in updated.values() if each.whole in self._suspects]
+        return kept, changes
 
     def expire(self, now_ms: int) -> list[StandingChange]:
-        """Forget crashes that are too long ago."""
-        outdated = [
+        """Remove expired suspects."""
+        expired = [
             suspect
             for suspect in self._suspects.values()
             if is_expired(suspect, now_ms)
         ]
-        for suspect in outdated:
+        for suspect in expired:
             self._remove(suspect.whole)
-        return self._update_standings(outdated)
+        return self._update_standings(expired)
 
     def acquit(self, whole: int) -> messages.Suspect | None:
-        """Return the word that no crash known by now counts against a request.
+        """Return a suspect with all its current strikes acquitted.
 
-        None if none does; the word is to be merged and told.
+        The result still has to be merged and sent to the other routers. None if no
+        strike counts against the request.
         """
         suspect = self._suspects.get(whole)
         strikes = list_strikes(suspect) if suspect else []
@@ -215,12 +220,12 @@
             del self._scope_counts[suspect.scope]
 
     def _evict(self) -> list[messages.Suspect]:
-        """Drop the lightest of what is too much; returns it."""
+        """Remove and return the suspects in excess of the maximum."""
         evicted = []
         while len(self._suspects) > SUSPECTS_MAX:
-            weight, whole = heapq.heappop(self._eviction_heap)
+            priority, whole = heapq.heappop(self._eviction_heap)
             suspect = self._suspects.get(whole)
-            if suspect is not None and _compute_eviction_priority(suspect) == weight:
+            if suspect is not None and _compute_eviction_priority(suspect) == priority:
                 self._remove(whole)
                 evicted.append(suspect)
         if len(self._eviction_heap) > EVICTION_HEAP_MAX:
@@ -234,7 +239,7 @@
     def _update_standings(
         self, touched: Iterable[messages.Suspect]
     ) -> list[StandingChange]:
-        """Work out the standing of requests of which something has changed."""
+        """Recompute the standing of changed suspects and of changed causes."""
         causes = frozenset(find_causes(self._candidates))
         suspects = {suspect.whole: suspect for suspect in touched}
         for whole in causes ^ self._causes:
@@ -243,12 +248,12 @@
         self._causes = causes
         changes = []
         for whole, suspect in suspects.items():
-            before, now = self.find_standing(whole), self._compute_standing(whole)
-            self._standings[whole] = now
-            if now is Standing.CLEAR:
+            before, after = self.find_standing(whole), self._compute_standing(whole)
+            self._standings[whole] = after
+            if after is Standing.CLEAR:
                 del self._standings[whole]
-            if before is not now:
-                changes.append(StandingChange(suspect, before, now))
+            if before is not after:
+                changes.append(StandingChange(suspect, before, after))
         return changes
 
     def _compute_standing(self, whole: int) -> Standing:
@@ -262,7 +267,7 @@
 
 
 def make_suspect(run: crashes.LostRun, crash: str, now_ms: int) -> messages.Suspect:
-    """Return the first word on a request under which a server has crashed."""
+    """Return a suspect with one strike for a run lost in a crash."""
     is_prompt = not run.is_begun or run.seconds <= PROMPT_SECONDS
     strike = messages.Strike(
         crash=crash,
@@ -276,81 +281,86 @@
 
 
 def is_expired(suspect: messages.Suspect, now_ms: int) -> bool:
-    """Whether a request may be forgotten."""
+    """Return whether a suspect has passed its retention time."""
     latest = max(strike.at_ms for strike in suspect.strikes)
-    memory_ms = STRIKE_RETENTION_MS if list_strikes(suspect) else ACQUITTED_RETENTION_MS
-    return latest + memory_ms < now_ms - now_ms % EXPIRY_STEP_MS
+    retention_ms = (
+        STRIKE_RETENTION_MS if list_strikes(suspect) else ACQUITTED_RETENTION_MS
+    )
+    return latest + retention_ms < now_ms - now_ms % EXPIRY_STEP_MS
 
 
 def list_strikes(suspect: messages.Suspect) -> list[messages.Strike]:
-    """Return the strikes that count against a request."""
+    """Return the strikes that count: those after the last acquittal."""
     return [each for each in suspect.strikes if each.at_ms > suspect.acquitted_ms]
 
 
 def count_trials(suspect: messages.Suspect | None) -> int:
-    """Return how many crashes in a row count against a request."""
+    """Return the number of consecutive crashes that count against a request."""
     strikes = list_strikes(suspect) if suspect else []
     return max((strike.trial for strike in strikes), default=0)
 
 
-def merge_suspects(one: messages.Suspect, other: messages.Suspect) -> messages.Suspect:
-    """Return all that two words on one request say."""
-    strikes = {strike.crash: strike for strike in one.strikes}
-    for strike in other.strikes:
+def merge_suspects(
+    first: messages.Suspect, second: messages.Suspect
+) -> messages.Suspect:
+    """Return the union of two records of the same request."""
+    strikes = {strike.crash: strike for strike in first.strikes}
+    for strike in second.strikes:
         known = strikes.get(strike.crash)
         strikes[strike.crash] = _merge_strikes(known, strike) if known else strike
     return trim_strikes(
         messages.Suspect(
-            one.scope,
-            one.whole,
-            max(one.acquitted_ms, other.acquitted_ms),
+            first.scope,
+            first.whole,
+            max(first.acquitted_ms, second.acquitted_ms),
             tuple(strikes.values()),
         )
     )
 
 
 def trim_strikes(suspect: messages.Suspect) -> messages.Suspect:
-    """Return a suspect with its newest strikes in order."""
+    """Return a suspect with only its newest strikes, sorted by time."""
     strikes = sorted(suspect.strikes, key=lambda each: (each.at_ms, each.crash))
     return msgspec.structs.replace(suspect, strikes=tuple(strikes[-STRIKES_MAX:]))
 
 
 def find_causes(strikes: Mapping[int, list[messages.Strike]]) -> list[int]:
-    """Return the causes among requests with enough crashes, the surest first.
+    """Return the requests that caused the crashes, most certain first.
 
-    A request is only blamed for crashes that no cause found before explains.
+    Greedy set cover: a request is only blamed for crashes that the causes already
+    selected don't explain.
     """
-    open_strikes = dict(strikes)
+    unexplained = dict(strikes)
     causes: list[int] = []
-    while open_strikes:
+    while unexplained:
         cause = min(
-            open_strikes, key=lambda whole: _make_blame_key(whole, open_strikes[whole])
+            unexplained, key=lambda whole: _make_blame_key(whole, unexplained[whole])
         )
         causes.append(cause)
         explained = {strike.crash for strike in strikes[cause]}
-        open_strikes = {
-            whole: left
-            for whole, found in open_strikes.items()
+        unexplained = {
+            whole: remaining
+            for whole, found in unexplained.items()
             if meets_quarantine_threshold(
-                left := [each for each in found if each.crash not in explained]
+                remaining := [each for each in found if each.crash not in explained]
             )
         }
     return causes
 
 
 def meets_quarantine_threshold(strikes: list[messages.Strike]) -> bool:
-    """Whether so many crashes can't be chance."""
+    """Return whether the strikes are too many to be a coincidence."""
     trials = max((strike.trial for strike in strikes), default=0)
     return count_points(strikes) >= QUARANTINE_POINTS and trials >= QUARANTINE_TRIALS
 
 
 def count_points(strikes: Iterable[messages.Strike]) -> int:
-    """Return the weight of some crashes."""
+    """Return the total points of some strikes."""
     return sum(PROMPT_POINTS if strike.is_prompt else LATE_POINTS for strike in strikes)
 
 
 def hash_suspects(suspects: Iterable[messages.Suspect]) -> int:
-    """Return a hash that is the same wherever the same is known."""
+    """Return a hash of some suspects that does not depend on their order."""
     digest = 0
     for suspect in suspects:
         digest ^= hash_suspect(suspect)
@@ -358,29 +368,29 @@
 
 
 def hash_suspect(suspect: messages.Suspect) -> int:
-    """Return a hash of all that is known of one request."""
+    """Return a hash of all fields of a suspect."""
     return xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(suspect))
 
 
 def _make_blame_key(
     whole: int, strikes: list[messages.Strike]
 ) -> tuple[float, float, int]:
-    """Return the order in which requests are blamed; the least is first."""
+    """Return a sort key that puts the likeliest cause first."""
     mean_ms = sum(strike.run_ms for strike in strikes) / len(strikes)
     return -count_points(strikes), mean_ms, whole
 
 
-def _merge_strikes(one: messages.Strike, other: messages.Strike) -> messages.Strike:
+def _merge_strikes(first: messages.Strike, second: messages.Strike) -> messages.Strike:
     return messages.Strike(
-        one.crash,
-        min(one.at_ms, other.at_ms),
-        max(one.trial, other.trial),
-        min(one.run_ms, other.run_ms),
-        one.is_prompt or other.is_prompt,
+        first.crash,
+        min(first.at_ms, second.at_ms),
+        max(first.trial, second.trial),
+        min(first.run_ms, second.run_ms),
+        first.is_prompt or second.is_prompt,
     )
 
 
 def _compute_eviction_priority(suspect: messages.Suspect) -> EvictionPriority:
-    """Return what decides which suspects are forgotten first."""
+    """Return a sort key that puts the suspect to evict next first."""
     latest = max(strike.at_ms for strike in suspect.strikes)
     return len(list_strikes(suspect)), latest
