--- a/celeryspan/decisions/crashes.py
+++ b/celeryspan/decisions/crashes.py
@@ -1,10 +1,11 @@
-"""Which lost runs mean that a backend server has crashed.
-
-A connection that ends is no proof: connections are reset, answers are lost and servers
-drop idle connections while they live on. A crash is believed if the server refuses
-connections right after, if its entry lapses although it never said that it leaves, or
-if another incarnation takes its place. Without the distinction, requests that were
-unlucky would be taken for requests that crash servers.
+"""Decides which lost runs mean that a backend server has crashed.
+
+A connection that ends early is no proof of a crash: connections are reset, answers are
+lost and servers close idle connections while they keep running. A server counts as
+crashed only if it refuses connections right afterwards, if its directory entry lapses
+without an announced departure, or if another incarnation takes its place. Without this
+distinction, requests whose connections merely broke would be taken for requests that
+crash servers.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from celeryspan.decisions import fingerprints
 
 EVIDENCE_TIMEOUT_SECONDS = 8.0
-"""How long a loss waits for evidence: entries of crashed servers lapse after some
-heartbeats."""
+"""How long a lost run waits for evidence of a crash: the entry of a crashed server
+lapses only after several missed heartbeats."""
 
 HEALTHY_SECONDS = 0.5
-"""How long a server that has accepted a connection counts as sound."""
+"""How long a server counts as healthy after it has accepted a connection."""
 
 CRASH_RETENTION_SECONDS = 30.0
-"""How long a crash is remembered for runs whose end is noticed late."""
+"""How long a crash is remembered for runs whose loss is detected late."""
 
 FindEntry = Callable[[ids.ServerId], catalog.ServerEntry | None]
 
 
 class Evidence(enum.Enum):
-    """What shows that a server has crashed."""
+    """Evidence that a server has crashed."""
 
     REFUSED = "connection refused"
     LAPSED = "entry lapsed"
@@ -40,18 +41,19 @@
 
 
 class LostRun(msgspec.Struct, frozen=True):
-    """A run whose connection ended before its answer did.
+    """A run whose connection ended before its answer was complete.
 
     Attributes
     ----------
     entry : ServerEntry
-        The server as it was when the run was sent.
+        The server's entry when the run was sent.
     seconds : float
-        Since the first part of the answer, or since it was sent if none had come.
+        Time since the first part of the answer, or since the run was sent if no part
+        had arrived.
     is_begun : bool
-        Whether a part of the answer had come.
+        Whether a part of the answer had arrived.
     trial : int
-        One more than the crashes in a row that were known when it was sent.
+        One more than the number of consecutive crashes known when the run was sent.
     """
 
     request: ids.RequestId
@@ -63,7 +65,13 @@
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """A server that has crashed, and runs that were lost with it."""
+    """A crash of a server and the runs lost in it.
+
+    Attributes
+    ----------
+    name : str
+        The incarnation that crashed, as :func:`format_incarnation` writes it.
+    """
 
     name: str
     server: ids.ServerId
@@ -72,7 +80,7 @@
 
 
 class _PendingLosses(msgspec.Struct):
-    """Losses at one server that wait for evidence."""
+    """Runs lost on one server incarnation that wait for evidence of a crash."""
 
     entry: catalog.ServerEntry
     since: float
@@ -80,7 +88,7 @@
 
 
 class CrashDetector:
-    """Collects losses and evidence by the incarnations of servers."""
+    """Matches lost runs with evidence of crashes, by server incarnation."""
 
     def __init__(self) -> None:
         self._pending: dict[str, _PendingLosses] = {}
@@ -88,54 +96,60 @@
         self._crashed_at: dict[str, float] = {}
 
     def add_loss(self, run: LostRun, now: float) -> Crash | None:
-        """Take in a lost run; returns the crash if it is known already."""
+        """Record a lost run; return the crash if it is already known."""
         self._expire(now)
         name = format_incarnation(run.entry)
         if name in self._crashed_at:
             return Crash(name, run.entry.server, Evidence.REPORTED, (run,))
         if now < self._healthy_until.get(name, 0.0):
             return None
-        case = self._pending.setdefault(name, _PendingLosses(run.entry, now))
-        case.runs.append(run)
+        losses = self._pending.setdefault(name, _PendingLosses(run.entry, now))
+        losses.runs.append(run)
         return None
 
     def is_pending(self, name: str) -> bool:
-        """Whether losses at an incarnation of a server wait for evidence."""
+        """Return whether lost runs of a server incarnation wait for evidence."""
         return name in self._pending
 
     def record_accepted_connection(
         self, entry: catalog.ServerEntry, now: float
     ) -> None:
-        """Note that a server has accepted a connection: it has not crashed."""
+        """Record that a server accepted a connection and thus has not crashed."""
         name = format_incarnation(entry)
         self._pending.pop(name, None)
         self._healthy_until[name] = now + HEALTHY_SECONDS
 
     def confirm(self, name: str, evidence: Evidence, now: float) -> Crash | None:
-        """Note that a server has crashed; returns the crash if runs were lost here."""
+        """Record a crash; return it if runs were lost here."""
         self._crashed_at[name] = now
-        case = self._pending.pop(name, None)
-        if case is None:
+        losses = self._pending.pop(name, None)
+        if losses is None:
             return None
-        return Crash(name, case.entry.server, evidence, tuple(case.runs))
+        return Crash(name, losses.entry.server, evidence, tuple(losses.runs))
 
     def check_entries(self, find: FindEntry, now: float) -> list[Crash]:
-        """Compare what waits with the entries of servers, those that leave included."""
+        """Check pending losses against the directory and return the crashes found.
+
+        Parameters
+        ----------
+        find : callable
+            Returns the entry of a server; those of leaving servers are included.
+        """
         self._expire(now)
-        found = []
-        for name, case in list(self._pending.items()):
-            entry = find(case.entry.server)
+        crashes = []
+        for name, losses in list(self._pending.items()):
+            entry = find(losses.entry.server)
             if entry is not None and entry.is_leaving:
                 del self._pending[name]
             elif entry is None:
-                found.append(self.confirm(name, Evidence.LAPSED, now))
-            elif entry.succeeds(case.entry):
-                found.append(self.confirm(name, Evidence.RESTARTED, now))
-        return [crash for crash in found if crash is not None]
+                crashes.append(self.confirm(name, Evidence.LAPSED, now))
+            elif entry.succeeds(losses.entry):
+                crashes.append(self.confirm(name, Evidence.RESTARTED, now))
+        return [crash for crash in crashes if crash is not None]
 
     def _expire(self, now: float) -> None:
-        for name, case in list(self._pending.items()):
-            if now - case.since > EVIDENCE_TIMEOUT_SECONDS:
+        for name, losses in list(self._pending.items()):
+            if now - losses.since > EVIDENCE_TIMEOUT_SECONDS:
                 del self._pending[name]
         for name, at in list(self._crashed_at.items()):
             if now - at > CRASH_RETENTION_SECONDS:
@@ -146,5 +160,8 @@
 
 
 def format_incarnation(entry: catalog.ServerEntry) -> str:
-    """Return the name of one incarnation of a server."""
+    """Return the identifier of a server incarnation, such as ``gpu-1@1790000000000``.
+
+    The part after the ``@`` is the start time in Unix milliseconds, 0 if unknown.
+    """
     return f"{entry.server}@{entry.started_ms or 0}"
--- a/tests/decisions/test_crashes.py
+++ b/tests/decisions/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which lost runs count as crashes of their servers."""
+"""Which lost runs are attributed to a server crash."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def make_entry(name: str = "engine", **values: object) -> catalog.ServerEntry:
-    """Return the entry of a server."""
+    """Return a server entry with default fields."""
     fields = {
         "server": ids.ServerId(name),
         "service": ids.ServiceId("planner"),
@@ -22,12 +22,12 @@
 
 
 def make_loss(entry: catalog.ServerEntry, request: str = "r1") -> crashes.LostRun:
-    """Return a run that was lost at a server."""
+    """Return a run that was lost on a server."""
     fingerprint = fingerprints.Fingerprint(1, 2)
     return crashes.LostRun(ids.RequestId(request), entry, fingerprint, 0.1, False)
 
 
-def test_refused_connection_shows_the_crash_under_all_runs_lost_before() -> None:
+def test_refused_connection_confirms_the_crash_for_all_lost_runs() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     assert detector.add_loss(make_loss(entry, "r1"), 0.0) is None
@@ -40,8 +40,8 @@
     assert late.name == crash.name
 
 
-def test_reset_connection_of_a_server_that_accepts_is_no_crash() -> None:
-    """Guards against innocents that are suspected when answers are lost."""
+def test_reset_connection_is_no_crash_if_the_server_still_accepts() -> None:
+    """A lost answer alone must not make its request a suspect."""
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
@@ -51,7 +51,7 @@
     assert detector.check_entries(lambda _: None, 1.0) == []
 
 
-def test_entry_that_lapses_shows_the_crash_of_a_silent_server() -> None:
+def test_lapsed_entry_confirms_the_crash() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
@@ -60,7 +60,7 @@
     assert crash.evidence is crashes.Evidence.LAPSED
 
 
-def test_entry_of_a_later_incarnation_shows_the_crash() -> None:
+def test_entry_of_a_later_incarnation_confirms_the_crash() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry(started_ms=10)
     detector.add_loss(make_loss(entry), 0.0)
@@ -69,8 +69,8 @@
     assert crash.name == "engine@10"
 
 
-def test_planned_end_of_a_server_is_no_crash() -> None:
-    """Guards against innocents that are suspected when servers are replaced."""
+def test_planned_departure_of_a_server_is_no_crash() -> None:
+    """Replacing a server must not make the requests on it suspects."""
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
@@ -78,14 +78,14 @@
     assert detector.check_entries(lambda _: None, 2.0) == []
 
 
-def test_loss_without_evidence_is_forgotten() -> None:
+def test_loss_without_evidence_expires() -> None:
     detector = crashes.CrashDetector()
     detector.add_loss(make_loss(make_entry()), 0.0)
     late = crashes.EVIDENCE_TIMEOUT_SECONDS + 0.1
     assert detector.check_entries(lambda _: None, late) == []
 
 
-def test_crash_that_a_peer_reports_covers_the_runs_lost_here() -> None:
+def test_crash_reported_by_a_peer_includes_the_runs_lost_here() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
