--- a/celeryspan/decisions/fingerprints.py
+++ b/celeryspan/decisions/fingerprints.py
@@ -1,8 +1,8 @@
-"""Recognizes requests that ask the same, whatever ids they have.
+"""Fingerprints that identify identical requests regardless of their ids.
 
-Copies of one request come in by any router, each under an id of its own. Bodies are
-neither kept nor told to other routers; a keyed hash stands for them, so that nobody
-without the fleet's key can look for a request that shares a fingerprint with another.
+Copies of one request arrive at any router, each under its own id. Routers neither keep
+bodies nor send them to each other but use a keyed hash, so that nobody without the
+fleet's key can search for a request that collides with another one.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 FINGERPRINT_BYTES = 8
 
 KEY_BYTES_MAX = 64
-"""Greatest key of BLAKE2b."""
+"""Maximum key size of BLAKE2b."""
 
 
 class Fingerprint(msgspec.Struct, frozen=True):
-    """What identifies a request beside its id.
+    """Content hashes of a request.
 
     Attributes
     ----------
     scope : int
-        Hash of host, target and client account: tells without the body that a request
-        is not another one's copy.
+        Hash of host, target and client account. Requests with different scopes are
+        known to differ before their bodies are hashed.
     whole : int
         Hash of scope, method and body.
     """
@@ -42,14 +42,14 @@
     Parameters
     ----------
     key : str
-        Secret of the fleet; routers with other keys find other fingerprints.
+        Secret of the fleet. Routers with different keys compute different fingerprints.
     """
 
     def __init__(self, key: str) -> None:
         self._key = hashlib.sha512(key.encode()).digest()[:KEY_BYTES_MAX]
 
     def compute_scope(self, host: str, target: bytes, account: str) -> int:
-        """Return the hash of what stands before the body."""
+        """Return the hash of host, target and client account."""
         return self._hash(host.encode(), target, account.encode())
 
     def compute(
@@ -60,21 +60,21 @@
         Parameters
         ----------
         target : bytes
-            Path and query, as the caller wrote them.
+            Path and query exactly as the caller sent them.
         """
         scope = self.compute_scope(host, target, account)
-        text = scope.to_bytes(FINGERPRINT_BYTES, "big")
-        return Fingerprint(scope, self._hash(text, method.encode(), body))
+        scope_bytes = scope.to_bytes(FINGERPRINT_BYTES, "big")
+        return Fingerprint(scope, self._hash(scope_bytes, method.encode(), body))
 
     def _hash(self, *fields: bytes) -> int:
-        found = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, key=self._key)
+        digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, key=self._key)
         for field in fields:
-            # The length keeps the fields apart: "ab", "c" is not "a", "bc".
-            found.update(len(field).to_bytes(8, "big"))
-            found.update(field)
-        return int.from_bytes(found.digest(), "big")
+            # Length prefixes keep ("ab", "c") and ("a", "bc") distinct.
+            digest.update(len(field).to_bytes(8, "big"))
+            digest.update(field)
+        return int.from_bytes(digest.digest(), "big")
 
 
 def format_fingerprint(whole: int) -> str:
-    """Return a fingerprint as logs and operators write it."""
+    """Return a fingerprint in the hexadecimal form used in logs and commands."""
     return f"{whole:0{2 * FINGERPRINT_BYTES}x}"
--- a/tests/decisions/test_fingerprints.py
+++ b/tests/decisions/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""What counts as the same request."""
+"""Which requests share a fingerprint."""
 
 from __future__ import annotations
 
@@ -9,30 +9,36 @@
 FIELDS = ("desk.example", b"/drafts/1?page=2", "tower", "POST", b"body")
 
 
-def make(*fields: object, key: str = "fleet") -> fingerprints.Fingerprint:
-    """Return the fingerprint of some fields."""
+def make_fingerprint(*fields: object, key: str = "fleet") -> fingerprints.Fingerprint:
+    """Return the fingerprint of a request with these fields."""
     return fingerprints.Fingerprinter(key).compute(*fields)
 
 
 def test_copies_of_a_request_have_one_fingerprint() -> None:
-    assert make(*FIELDS) == make(*FIELDS)
+    assert make_fingerprint(*FIELDS) == make_fingerprint(*FIELDS)
 
 
 @pytest.mark.parametrize("index", range(len(FIELDS)))
-def test_requests_that_differ_anywhere_have_other_fingerprints(index: int) -> None:
+def test_requests_that_differ_in_any_field_have_different_fingerprints(
+    index: int,
+) -> None:
     other = list(FIELDS)
     other[index] = other[index] + (b"x" if index in (1, 4) else "x")
-    assert make(*other).whole != make(*FIELDS).whole
-    assert (make(*other).scope == make(*FIELDS).scope) is (index > 2)
+    assert make_fingerprint(*other).whole != make_fingerprint(*FIELDS).whole
+    assert (make_fingerprint(*other).scope == make_fingerprint(*FIELDS).scope) is (
+        index > 2
+    )
 
 
-def test_text_that_moves_to_the_next_field_changes_the_fingerprint() -> None:
-    assert make("ab", b"c", "", "GET", b"") != make("a", b"bc", "", "GET", b"")
+def test_fingerprint_depends_on_field_boundaries() -> None:
+    assert make_fingerprint("ab", b"c", "", "GET", b"") != make_fingerprint(
+        "a", b"bc", "", "GET", b""
+    )
 
 
-def test_fingerprints_of_another_fleet_can_not_be_found() -> None:
-    assert make(*FIELDS, key="another") != make(*FIELDS)
+def test_fingerprint_depends_on_the_fleet_key() -> None:
+    assert make_fingerprint(*FIELDS, key="another") != make_fingerprint(*FIELDS)
 
 
-def test_fingerprint_is_written_with_all_its_digits() -> None:
+def test_fingerprint_is_formatted_with_leading_zeros() -> None:
     assert str(fingerprints.Fingerprint(1, 0xAB)) == "00000000000000ab"
