--- a/celeryspan/decisions/claims.py
+++ b/celeryspan/decisions/claims.py
@@ -1,13 +1,13 @@
-"""What one router remembers of requests that may come again.
+"""One router's ledger of named requests, which keeps repeats from running twice.
 
-Load and faults it answers: callers repeat a request with its ticket or its
-``Idempotency-Key`` because an answer was lost or late, while the first is waiting,
-running or long ended. Without a memory the repeat runs again.
+Callers repeat a request under the same ticket or ``Idempotency-Key`` when its answer
+was lost or late, while the first request is queued, running or long finished. Without a
+record of the first request the repeat would run again.
 
-A name (ticket or key) belongs to one router incarnation; its ledger alone decides
-whether the request runs. A record is kept for as long as a ticket is valid, so that a
-used ticket is never taken for a new one. When the ledger is full new names are
-refused, not run: dropping a record early could run a request twice.
+A name (ticket or key) belongs to one router incarnation, whose ledger alone decides
+whether the request runs. A record outlives the ticket, so that a used ticket is never
+taken for a new one. When the ledger is full, new names are refused: evicting a record
+early could run a request twice.
 """
 
 from __future__ import annotations
@@ -22,40 +22,39 @@
 from celeryspan import ids, states
 from celeryspan.decisions import tickets
 
-# A record without its answer takes 490 bytes (measured over 100,000 of them): 49 MB
-# when full. Reached by 150 named requests a second for 600 s at one router.
+# A record without its answer takes 490 bytes, so a full ledger takes 49 MB. It fills
+# when one router receives 150 named requests per second for 600 s.
 RECORDS_MAX = 100_000
 
-# Longer than a ticket is valid, so that its record outlives it.
+# Longer than a ticket is valid, so that the record outlives the ticket.
 RECORD_RETENTION_SECONDS = tickets.VALID_SECONDS + 60.0
 
-# Answers kept for repeats, all together and each, in bytes. Most repeats come within
-# seconds, when the newest answers are still here.
+# Maximum size of all kept answers together and of one answer. Most repeats arrive
+# within seconds, while the newest answers are still kept.
 ANSWERS_BYTES_MAX = 64 * 1024 * 1024
 ANSWER_BYTES_MAX = 262_144
 
-
-# How long a key is remembered by the object API, in days: callers may repeat a
-# request for a day. Claims of one day share a prefix, so that old ones can be found.
+# How long the object API keeps the claim of a key: callers may repeat a request for a
+# day. Claims of one day share a prefix, so that old ones can be listed and deleted.
 DAY_SECONDS = 86_400
 CLAIM_RETENTION_DAYS = 1
 
-# Greatest difference between the clocks of two routers, in seconds; clocks of a data
-# centre agree within milliseconds, one that is minutes off is replaced.
+# Maximum tolerated difference between the clocks of two routers. Clocks in a data
+# centre agree within milliseconds; a machine that is minutes off is replaced.
 CLOCK_SKEW_MAX_SECONDS = 300
 
 
 class NameKind(enum.Enum):
-    """How a caller names a request."""
+    """The kind of name under which a caller sends a request."""
 
     TICKET = "ticket"
     KEY = "key"
 
 
 class RequestName(NamedTuple):
-    """What makes a repeat recognisable.
+    """The name that identifies repeats of a request.
 
-    The account belongs to it, so that none can ask for another's answer.
+    It includes the account, so that no account can obtain the answer of another.
     """
 
     kind: NameKind
@@ -64,7 +63,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """An answer as it was given, to be given again."""
+    """A complete HTTP answer, kept to be replayed to repeats."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -72,21 +71,21 @@
 
 
 class Owner(NamedTuple):
-    """The router incarnation to which a name belongs."""
+    """The router incarnation that owns a name."""
 
     router: ids.RouterId
     incarnation: ids.Incarnation
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """What stands in the object API for a key.
+    """The claim of an idempotency key, as stored in the object API.
 
     Attributes
     ----------
     answer : Answer or None
-        The answer, if its owner has put it there.
+        The answer, if the owner has published it.
     place, version : str, int
-        Where this router wrote it and at which version; empty for what was read.
+        Object key and version of a claim written by this router; unset if it was read.
     """
 
     owner: Owner
@@ -97,7 +96,7 @@
 
 
 class Decision(enum.Enum):
-    """What to do with a request that carries a name."""
+    """How to handle a request that carries a name."""
 
     RUN = "run"
     WAIT = "wait"
@@ -107,7 +106,7 @@
 
 
 class Stage(enum.Enum):
-    """How far the request of a name has come."""
+    """The progress of a named request."""
 
     RUNNING = "running"
     FREE = "free"
@@ -115,16 +114,16 @@
 
 
 class Record(msgspec.Struct):
-    """What is known about one name.
+    """The state of one named request.
 
     Attributes
     ----------
     digest : str
-        Hash of the request, so that a name can't be used for another one.
+        Hash of the request, so that a name can't be reused for a different one.
     claim : Claim or None
         For a key: this router's claim in the object API.
     answer : Answer or None
-        The answer, if it was whole and is still kept.
+        The answer, if it was complete and is still kept.
     """
 
     digest: str
@@ -136,7 +135,7 @@
 
 
 class Ledger:
-    """The records of one router incarnation."""
+    """Records of the named requests that one router incarnation owns."""
 
     def __init__(self, records_max: int = RECORDS_MAX) -> None:
         self._records: collections.OrderedDict[RequestName, Record] = (
@@ -153,15 +152,15 @@
 
     @property
     def answer_bytes(self) -> int:
-        """Size of the answers kept, in bytes."""
+        """Total size of the kept answers, in bytes."""
         return self._answer_bytes
 
     def find(self, name: RequestName) -> Record | None:
-        """Return the record of a name, if there is one."""
+        """Return the record of a name, or None."""
         return self._records.get(name)
 
     def begin(self, name: RequestName, digest: str, now: float) -> Decision:
-        """Decide on a request; after RUN its caller must settle or free the name."""
+        """Decide on a request; after RUN the caller must settle or release the name."""
         self._expire(now)
         record = self._records.get(name)
         if record is None:
@@ -179,17 +178,17 @@
         return Decision.RUN
 
     def release(self, name: RequestName) -> None:
-        """Note that the request was certainly not run and may be tried again."""
+        """Allow another attempt, since the request certainly did not run."""
         self._records[name].stage = Stage.FREE
 
     def remove(self, name: RequestName) -> None:
-        """Drop a name that belongs to another router."""
+        """Remove a name that another router owns."""
         self._records.pop(name, None)
 
     def settle(
         self, name: RequestName, outcome: states.Outcome, answer: Answer | None = None
     ) -> None:
-        """Note how the request ended."""
+        """Record the outcome of a request and keep its answer if it is small enough."""
         record = self._records[name]
         record.stage = Stage.SETTLED
         record.outcome = outcome
@@ -207,7 +206,7 @@
                 self._records[name].answer = None
 
     def _expire(self, now: float) -> None:
-        """Drop records that are too old; those still running go to the end."""
+        """Remove old records; renew those whose request is still running."""
         while self._records:
             name, record = next(iter(self._records.items()))
             if now - record.since <= RECORD_RETENTION_SECONDS:
@@ -221,17 +220,17 @@
 
 
 def hash_name(name: RequestName) -> str:
-    """Return a fixed-length text for a name, which may hold anything."""
+    """Return a fixed-length hash of a name, whose text may hold any characters."""
     return hashlib.sha256(f"{name.account}/{name.text}".encode()).hexdigest()
 
 
 def find_claim_days(now: float) -> tuple[int, tuple[int, ...]]:
-    """Return the day to claim in, and the others in which a claim may stand.
+    """Return the day to claim under, and the other days that may hold a claim.
 
     Parameters
     ----------
     now : float
-        Seconds since the epoch, by the clock of this router.
+        Unix time in seconds, by the clock of this router.
     """
     today = int(now // DAY_SECONDS)
     first = int((now - CLAIM_RETENTION_DAYS * DAY_SECONDS) // DAY_SECONDS)
--- a/tests/decisions/test_claims.py
+++ b/tests/decisions/test_claims.py
@@ -1,4 +1,4 @@
-"""The ledger runs a name once, within its bounds."""
+"""The ledger runs each named request at most once and stays within its bounds."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class Ledger(stateful.RuleBasedStateMachine):
-    """Requests under a few names, in any order, over more than an hour.
+    """Sends requests under a few names, in any order, over more than an hour.
 
-    The story: a gang leader's phone repeats a booking several times; two repeats come
-    while the first runs, one an hour later. Two gangs drive to one flock if any of
-    them runs within the time in which its ticket is valid.
+    Guards against a request that runs twice. Callers repeat a request while the first
+    attempt runs and up to an hour later; no repeat may run within the time in which its
+    ticket is valid.
     """
 
     def __init__(self) -> None:
@@ -34,14 +34,14 @@
         self.now += seconds
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def ask(self, name: claims.RequestName) -> None:
-        verdict = self.ledger.begin(name, "same", self.now)
-        if verdict is claims.Decision.RUN:
+    def send(self, name: claims.RequestName) -> None:
+        decision = self.ledger.begin(name, "same", self.now)
+        if decision is claims.Decision.RUN:
             assert name not in self.running
             ended = self.ended.get(name, -tickets.VALID_SECONDS)
             assert self.now - ended >= tickets.VALID_SECONDS
             self.running.add(name)
-        if verdict is claims.Decision.WAIT:
+        if decision is claims.Decision.WAIT:
             assert name in self.running
 
     @stateful.precondition(lambda self: self.running)
@@ -61,7 +61,7 @@
         self.ledger.release(name)
 
     @stateful.invariant()
-    def stay_bounded(self) -> None:
+    def check_bounds(self) -> None:
         assert len(self.ledger) <= 3
         kept = [self.ledger.find(name) for name in NAMES]
         sizes = [len(item.answer.body) for item in kept if item and item.answer]
@@ -71,7 +71,7 @@
 TestLedger = Ledger.TestCase
 
 
-def test_old_answers_make_room_but_their_outcome_stays(monkeypatch) -> None:
+def test_evicted_answers_keep_their_outcome(monkeypatch) -> None:
     monkeypatch.setattr(claims, "ANSWERS_BYTES_MAX", 10)
     ledger = claims.Ledger()
     for name in NAMES[:2]:
@@ -83,7 +83,7 @@
     assert ledger.find(NAMES[1]).answer is not None
 
 
-def test_a_name_is_not_used_for_another_request() -> None:
+def test_name_cannot_be_reused_for_a_different_request() -> None:
     ledger = claims.Ledger()
     ledger.begin(NAMES[0], "one", 0.0)
     assert ledger.begin(NAMES[0], "other", 0.0) is claims.Decision.MISMATCH
@@ -91,10 +91,11 @@
 
 @hypothesis.given(now=strategies.floats(1e9, 2e9), skew=strategies.floats(-300, 300))
 def test_routers_near_midnight_see_each_others_claims(now: float, skew: float) -> None:
-    """Two routers claim one key around midnight, their clocks minutes apart.
+    """Two routers whose clocks differ by minutes claim one key around midnight.
 
-    Each writes under its own day. If neither looks into the other's day, both run.
+    Each writes its claim under its own day. Unless each also reads the other's day,
+    both run the request.
     """
-    one, one_looks = claims.find_claim_days(now)
-    other, other_looks = claims.find_claim_days(now + skew)
-    assert one == other or (one in other_looks and other in one_looks)
+    first, first_others = claims.find_claim_days(now)
+    second, second_others = claims.find_claim_days(now + skew)
+    assert first == second or (first in second_others and second in first_others)
