--- a/celeryspan/decisions/crashes.py
+++ b/celeryspan/decisions/crashes.py
@@ -2,10 +2,10 @@
 
 A connection that ends early is no proof of a crash: connections are reset, answers are
 lost and servers close idle connections while they keep running. A server counts as
-crashed only if it refuses connections right afterwards, if its directory entry lapses
-without an announced departure, or if another incarnation takes its place. Without this
-distinction, requests whose connections merely broke would be taken for requests that
-crash servers.
+crashed only if it refuses connections right afterwards, if its entry in the store
+lapses without an announced departure, or if another incarnation takes its place.
+Without this distinction, requests whose connections merely broke would be taken for
+requests that crash servers.
 """
 
 from __future__ import annotations
@@ -128,7 +128,7 @@
         return Crash(name, losses.entry.server, evidence, tuple(losses.runs))
 
     def check_entries(self, find: FindEntry, now: float) -> list[Crash]:
-        """Check pending losses against the directory and return the crashes found.
+        """Check pending losses against the server entries and return the crashes found.
 
         Parameters
         ----------
