--- a/celeryspan/decisions/retries.py
+++ b/celeryspan/decisions/retries.py
@@ -1,14 +1,11 @@
-"""Whether a failed attempt is repeated.
+"""Decides whether to retry a failed attempt.
 
-Load pattern: a backend server, or all servers of a service, fail or refuse for seconds
-to minutes while callers keep asking.
+Handles one or all servers of a service failing or refusing requests for seconds to
+minutes while callers keep sending. If every router retried each failure at once, the
+failing service would receive several times its normal load and not recover, and a
+request that may run only once could run twice.
 
-Without it: each failure is repeated at once by every router, the service that has just
-failed gets several times its normal load and does not recover; or a call that may run
-once only is sent a second time and books two aircraft onto one gate.
-
-Grounds of the figures: stated beside each constant; `docs/design/retries.md` has the
-measurements.
+See ``docs/design/retries.md`` for the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -20,20 +17,27 @@
 from celeryspan import ids, states
 
 MAX_ATTEMPTS = 3
-"""Attempts of one request, the first included: beyond, the cause is not one server."""
+"""Maximum number of attempts of one request, the first included. If all of them fail,
+the cause is not a single server."""
 
 BUDGET_PER_SUCCESS = 0.1
-"""Retries earned by one success: a failing service sees at most 1.1 times its load."""
+"""Retries that each success adds to the budget, so that a failing service receives at
+most 1.1 times its load."""
 
 BUDGET_MAX = 10.0
-"""Greatest number of saved retries: enough for the requests one lost server held."""
+"""Maximum size of the budget, in retries: enough for the requests in progress on one
+lost server."""
 
 BACKOFF_SECONDS = 0.05
-"""Mean wait before the first retry of a request; doubles with each further one."""
+"""Mean delay before the first retry of a request; doubles with each further retry."""
 
 
 class Sent(enum.Enum):
-    """What is known about the bytes of a failed attempt."""
+    """Whether a failed attempt may have reached the server.
+
+    NOTHING if no byte was sent, REFUSED if the server itself reported that it did not
+    run the request, and MAYBE otherwise.
+    """
 
     NOTHING = "nothing"
     REFUSED = "refused"
@@ -46,14 +50,13 @@
     Attributes
     ----------
     idempotent : bool
-        Whether the request may run twice.
+        Whether the request may run more than once.
     sent : Sent
-        NOTHING if no byte left, REFUSED if the server itself said that it did not
-        run it, else MAYBE.
+        Whether the attempt may have reached the server.
     number : int
         1 for the first attempt.
     answering : bool
-        Whether the caller has been given a part of the answer already.
+        Whether a part of the answer has already been sent to the caller.
     """
 
     service: ids.ServiceId
@@ -65,13 +68,13 @@
 
 
 class Retry(msgspec.Struct, frozen=True):
-    """Try again on another server after a wait, in seconds."""
+    """Retry on another server after a delay, in seconds."""
 
     delay: float
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """Answer the caller now, with what is known about the outcome."""
+    """Answer the caller now with the known outcome."""
 
     outcome: states.Outcome
     code: str
@@ -81,13 +84,13 @@
 
 
 class RetryPolicy:
-    """Decides on repeats at one router, with a budget for each service."""
+    """Decides on the retries of one router, with a retry budget for each service."""
 
     def __init__(self) -> None:
         self._budgets: dict[ids.ServiceId, float] = {}
 
     def record_success(self, service: ids.ServiceId) -> None:
-        """Earn a share of a retry."""
+        """Record a successful request, which adds to the budget of its service."""
         budget = self._budgets.get(service, BUDGET_MAX)
         self._budgets[service] = min(BUDGET_MAX, budget + BUDGET_PER_SUCCESS)
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""What is repeated, what is not, and how much a failing service gets."""
+"""Which attempts are retried, and how many retries a failing service receives."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 
 
 @pytest.mark.parametrize("jitter", [0.0, 0.99])
-def test_a_call_that_may_have_run_is_not_repeated(jitter: float) -> None:
-    """Two aircraft stand on one gate: a confirmation was sent twice.
+def test_request_that_may_have_run_is_not_retried(jitter: float) -> None:
+    """A non-idempotent request must not run twice.
 
-    The connection broke after the request had left; the server had carried it out and
-    its answer was lost. A second attempt books the gate again.
+    The connection breaks after the request was sent: the server may have run it and
+    only the answer was lost.
     """
-    verdict = retries.RetryPolicy().decide(
+    decision = retries.RetryPolicy().decide(
         make_attempt(retries.Sent.MAYBE), 0.0, jitter
     )
-    assert verdict == retries.GiveUp(states.Outcome.UNKNOWN, "outcome-unknown")
+    assert decision == retries.GiveUp(states.Outcome.UNKNOWN, "outcome-unknown")
 
 
 @pytest.mark.parametrize("sent", [retries.Sent.NOTHING, retries.Sent.REFUSED])
-def test_what_was_not_sent_is_repeated(sent: retries.Sent) -> None:
-    verdict = retries.RetryPolicy().decide(make_attempt(sent), 0.0, 0.5)
-    assert verdict == retries.Retry(retries.BACKOFF_SECONDS)
+def test_request_that_certainly_did_not_run_is_retried(sent: retries.Sent) -> None:
+    decision = retries.RetryPolicy().decide(make_attempt(sent), 0.0, 0.5)
+    assert decision == retries.Retry(retries.BACKOFF_SECONDS)
 
 
-def test_an_answer_that_has_begun_is_not_started_again() -> None:
+def test_request_is_not_retried_after_its_answer_has_begun() -> None:
     attempt = make_attempt(retries.Sent.MAYBE, idempotent=True, answering=True)
-    verdict = retries.RetryPolicy().decide(attempt, 0.0, 0.5)
-    assert verdict == retries.GiveUp(states.Outcome.UNKNOWN, "answer-cut")
+    decision = retries.RetryPolicy().decide(attempt, 0.0, 0.5)
+    assert decision == retries.GiveUp(states.Outcome.UNKNOWN, "answer-cut")
 
 
-def test_what_is_given_up_unsent_is_called_not_run() -> None:
+def test_unsent_request_is_reported_as_not_run_after_the_last_attempt() -> None:
     attempt = make_attempt(retries.Sent.NOTHING, number=retries.MAX_ATTEMPTS)
-    verdict = retries.RetryPolicy().decide(attempt, 0.0, 0.5)
-    assert verdict == retries.GiveUp(states.Outcome.NOT_RUN, "attempts-spent")
+    decision = retries.RetryPolicy().decide(attempt, 0.0, 0.5)
+    assert decision == retries.GiveUp(states.Outcome.NOT_RUN, "attempts-spent")
 
 
-def test_a_failing_service_gets_hardly_more_than_its_load() -> None:
-    """A service that stumbled for a second stays down for minutes.
+def test_retry_budget_limits_the_load_on_a_failing_service() -> None:
+    """Retries must not keep a service down after a short failure.
 
-    Each of 1,000 failed requests is repeated twice, so that the servers get three times
-    the load at which they have just failed.
+    If each of 1,000 failed requests were retried twice, the servers would receive three
+    times the load under which they just failed.
     """
-    control = retries.RetryPolicy()
+    policy = retries.RetryPolicy()
     attempt = make_attempt(retries.Sent.MAYBE, idempotent=True)
-    verdicts = [control.decide(attempt, 0.0, 0.5) for _ in range(1000)]
-    repeated = sum(isinstance(one, retries.Retry) for one in verdicts)
-    assert repeated == retries.BUDGET_MAX
+    decisions = [policy.decide(attempt, 0.0, 0.5) for _ in range(1000)]
+    retried = sum(isinstance(one, retries.Retry) for one in decisions)
+    assert retried == retries.BUDGET_MAX
 
 
 def test_no_retry_after_the_deadline() -> None:
     attempt = make_attempt(retries.Sent.NOTHING)
-    verdict = retries.RetryPolicy().decide(attempt, 99.99, 0.5)
-    assert verdict == retries.GiveUp(states.Outcome.NOT_RUN, "deadline-passed")
+    decision = retries.RetryPolicy().decide(attempt, 99.99, 0.5)
+    assert decision == retries.GiveUp(states.Outcome.NOT_RUN, "deadline-passed")
