--- a/celeryspan/decisions/retrybudget.py
+++ b/celeryspan/decisions/retrybudget.py
@@ -1,10 +1,10 @@
-"""One router's part of the fleet's budget of repeated sends.
+"""One router's share of the fleet's retry budget.
 
-Load answered: servers fail or reject while every router repeats. Repeats then add to
-the overload that causes them, and the service does not recover. The fleet may repeat a
-fixed share of the requests and a few more in each window. Each router takes the share
-of its own requests and an equal part of the rest, so that nothing is agreed and no
-part is taken twice when routers come and go.
+When servers fail or reject requests and every router retries, the retries add to the
+overload that causes them and the service does not recover. In each window the fleet may
+retry a fixed ratio of the requests plus a fixed slack. Each router uses the ratio on
+its own requests and an equal share of the slack, so that routers need no coordination
+and no share is used twice when routers join or leave.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 import collections
 
 RATIO_USED_FRACTION = 0.9
-"""Part of the share of own requests that is used: windows of the routers don't end at
-the same moment."""
+"""Fraction of the ratio that is used, since the windows of the routers don't end at the
+same moment."""
 
 SLACK_USED_FRACTION = 0.5
-"""Part of the fixed rest that is used, so that a router which restarts and has
-forgotten what it spent can spend as much again."""
+"""Fraction of the slack that is used, so that the fleet stays within its budget when a
+restarted router, which has lost its counts, uses its share again."""
 
 
 class RetryBudget:
-    """Counts requests and repeats of one service in a sliding window.
+    """Limits the retries of one service in a sliding window.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed per request.
     slack : float
-        Repeats allowed to the whole fleet beside these, in one window.
+        Additional retries allowed to the whole fleet in one window.
     window : float
-        Seconds.
+        Length of the window, in seconds.
     """
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
@@ -41,12 +41,18 @@
         self._retries: collections.deque[float] = collections.deque()
 
     def record_request(self, now: float) -> None:
-        """Count a request of a caller."""
+        """Record a request received from a caller."""
         self._requests.append(now)
         self._expire(now)
 
     def try_take(self, now: float, routers: int) -> bool:
-        """Take one repeat if one is left; ``routers`` share the fixed rest."""
+        """Use one retry if the budget allows it; return whether it does.
+
+        Parameters
+        ----------
+        routers : int
+            Number of routers that share the slack.
+        """
         self._expire(now)
         allowed = self._ratio * RATIO_USED_FRACTION * len(self._requests)
         allowed += self._slack * SLACK_USED_FRACTION / max(1, routers)
