--- a/celeryspan/decisions/busyness.py
+++ b/celeryspan/decisions/busyness.py
@@ -1,11 +1,11 @@
-"""When a router says that its processor has no time left.
+"""Detects when a router's processor is saturated.
 
-Load answered: the callers of one account all use one router, and that router is home of
-a pool as well. Its threads run late, so that it decides late for the whole fleet. A
-router that says so hands its ledgers to others that have time.
+If all callers of one account use one router that is also the home of a pool, the
+threads of that router run late and it delays decisions for the whole fleet. A router
+that reports itself busy hands its ledgers to routers with spare processor time.
 
-Each change moves ledgers, and what a home has learned is lost with them, so that a
-router is soon busy and for long.
+Each change moves ledgers, and the state that a home has learned is lost with them.
+Hence a router becomes busy quickly and stays busy for long.
 """
 
 from __future__ import annotations
@@ -13,19 +13,21 @@
 from celeryspan.decisions import overload
 
 BUSY_AFTER_SECONDS = 0.5
-"""How long threads must run late: one pause is no load."""
+"""How long threads must run late before the router is busy, so that a single pause does
+not count as load."""
 
 RECOVERED_AFTER_SECONDS = 10.0
-"""How long they must not: floods come in waves."""
+"""How long threads must run on time before the router is no longer busy, since overload
+comes in waves."""
 
 
 class BusyDetector:
-    """Whether one router is busy, by how late its threads run.
+    """Decides whether a router is busy from the lateness of its threads.
 
     Attributes
     ----------
     is_busy : bool
-        What the router says of itself.
+        The state that the router reports to others.
     """
 
     def __init__(self) -> None:
@@ -33,7 +35,7 @@
         self._changing_since: float | None = None
 
     def record(self, lateness: float, now: float) -> bool:
-        """Take in the mean lateness, in seconds; returns whether the word changes."""
+        """Record the mean lateness, in seconds; return whether ``is_busy`` changed."""
         late = lateness > overload.LATENESS_HIGH_SECONDS
         differs = not late if self.is_busy else late
         if not differs:
