--- a/celeryspan/decisions/descriptors.py
+++ b/celeryspan/decisions/descriptors.py
@@ -1,16 +1,16 @@
-"""How the descriptors of one process are divided, and which connections are given up.
-
-Load answered: the callers of one account open a connection for each request and keep
-it, some hundreds a second, all at one router. Without a bound the process runs out of
-descriptors within ten seconds. Nothing can be accepted then, by the directory and the
-readiness check neither, nothing can be opened to a backend server, and the account
-behind this router is starved while others are served.
-
-* Each use of descriptors has a part of its own, so that none takes those of another.
-* From three quarters of the callers' part on, answers announce the end of their
-  connections, which loses nothing. At the bound connections that wait for nothing are
-  closed, first those of the callers that hold most: callers with a few connections
-  keep them while one opens thousands.
+"""Divides file descriptors among their uses and selects idle connections to close.
+
+If the callers of one account open and keep a connection per request, some hundreds a
+second on one router, an unbounded process runs out of descriptors within ten seconds.
+It can then accept no connections, not even for the directory or the readiness check,
+and open none to backend servers, so that the account behind this router starves while
+others are served.
+
+* Each use of descriptors has its own share, so that no use exhausts that of another.
+* From three quarters of the callers' share on, answers announce that their connection
+  closes, which loses no request. At the bound idle connections are closed, starting
+  with the callers that hold the most: callers with few connections keep them while
+  another opens thousands.
 """
 
 from __future__ import annotations
@@ -21,42 +21,44 @@
 import msgspec
 
 RESERVED_MAX = 200
-"""For files, the log, the store and the poll objects: the platform counts as many."""
+"""Descriptors reserved for files, the log, the store and poll objects. The platform
+assumes the same number."""
 
 RESERVED_SHARE = 0.25
-"""Part reserved where a process may have only some hundred descriptors."""
+"""Fraction reserved instead if the process is limited to a few hundred descriptors."""
 
 CALLERS_SHARE = 0.35
-"""Of what is not reserved. At 4,100 descriptors 1,365: four times as many connections
-as requests that one router takes at a time."""
+"""Fraction of the unreserved descriptors for callers: 1,365 of 4,100, which is four
+times the maximum number of requests in progress on one router."""
 
 SERVERS_SHARE = 0.2
-"""For idle connections to backend servers: 780 of 4,100, a dozen for each of 60."""
+"""Fraction for idle connections to backend servers: 780 of 4,100, a dozen for each of
+60 servers."""
 
 LISTENER_SHARE = 0.05
-"""For each of the directory's listeners. A question takes milliseconds; 195 of 4,100
-are enough for 1,000 a second that are kept for a fifth of a second."""
+"""Fraction for each listener of the directory. A query takes milliseconds; 195 of 4,100
+suffice for 1,000 connections a second that are kept open for a fifth of a second."""
 
 CLOSE_NOTICE_SHARE = 0.75
-"""Part of a bound from which answers announce the end of their connections."""
+"""Fraction of a bound from which answers announce that their connection closes."""
 
 CLOSED_SHARE = 0.0625
-"""Part of a bound that is freed at once: choosing looks at all connections, and takes
-0.23 ms of a core at 1,365 of them and 3.5 ms at 20,000."""
+"""Fraction of a bound that is closed at once. Each selection scans all connections,
+which takes 0.23 ms of a core for 1,365 connections and 3.5 ms for 20,000."""
 
 
 class Budget(msgspec.Struct, frozen=True):
-    """Greatest numbers of connections of one process, by use.
+    """Maximum number of connections of one process, by use.
 
-    What is left, 35 of 100 and at least 1,300 where there are 4,100, is for links to
-    other routers and for requests on their way to backend servers.
+    The remainder, 35 % and at least 1,300 of 4,100 descriptors, is for links to other
+    routers and for requests in progress on backend servers.
 
     Attributes
     ----------
     callers : int
-        At the address at which callers are served.
+        Connections to the address that serves callers.
     listener : int
-        At each other address that is listened on.
+        Connections to each other listening address.
     servers : int
         Idle connections to backend servers.
     """
@@ -67,7 +69,7 @@
 
 
 def divide(descriptors: int) -> Budget:
-    """Return how many descriptors each use may have, of all that there may be."""
+    """Divide the descriptors that a process may open among their uses."""
     reserved = min(RESERVED_MAX, int(descriptors * RESERVED_SHARE))
     free = descriptors - reserved
     return Budget(
@@ -78,42 +80,43 @@
 
 
 def count_connections_to_close(bound: int) -> int:
-    """Return how many connections are given up at once at a bound."""
+    """Return how many connections to close at once when a bound is reached."""
     return max(1, int(bound * CLOSED_SHARE))
 
 
 def select_connections_to_close(holders: Sequence[Hashable], count: int) -> list[int]:
-    """Return the places of the connections to give up.
+    """Return the indices of the connections to close.
 
     Parameters
     ----------
     holders : sequence
-        Who holds each connection; the one that was idle for longest comes first.
+        The holder of each connection, ordered from the longest to the shortest idle.
     count : int
-        How many to choose, if there are as many.
+        Number of connections to select, if there are as many.
     """
-    left = collections.Counter(holders)
-    level = _find_cap(list(left.values()), max(0, len(holders) - count))
-    chosen: set[int] = set()
-    # What doesn't divide evenly is left to the holders whose connections are newest.
-    for most in (level + 1, level):
-        for place, holder in enumerate(holders):
-            if len(chosen) == count:
+    remaining = collections.Counter(holders)
+    cap = _find_cap(list(remaining.values()), max(0, len(holders) - count))
+    selected: set[int] = set()
+    # If the total doesn't divide evenly, the holders of the newest connections keep one
+    # more than the cap.
+    for limit in (cap + 1, cap):
+        for index, holder in enumerate(holders):
+            if len(selected) == count:
                 break
-            if left[holder] > most and place not in chosen:
-                left[holder] -= 1
-                chosen.add(place)
-    return sorted(chosen)
+            if remaining[holder] > limit and index not in selected:
+                remaining[holder] -= 1
+                selected.add(index)
+    return sorted(selected)
 
 
 def _find_cap(held: list[int], target: int) -> int:
-    """Return the number to which holders are cut so that ``target`` are left."""
-    level = 0
+    """Return the largest cap per holder that leaves at most ``target`` connections."""
+    cap = 0
     held.sort()
     for index, number in enumerate(held):
-        rest = len(held) - index
-        if target < number * rest:
-            return max(level, target // rest)
+        holders_left = len(held) - index
+        if target < number * holders_left:
+            return max(cap, target // holders_left)
         target -= number
-        level = number
-    return level
+        cap = number
+    return cap
