--- a/tests/decisions/test_crashes.py
+++ b/tests/decisions/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which lost runs count as crashes of their servers."""
+"""Which lost runs are attributed to a server crash."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def make_entry(name: str = "engine", **values: object) -> catalog.ServerEntry:
-    """Return the entry of a server."""
+    """Return a server entry with default fields."""
     fields = {
         "server": ids.ServerId(name),
         "service": ids.ServiceId("planner"),
@@ -22,17 +22,17 @@
 
 
 def make_loss(entry: catalog.ServerEntry, request: str = "r1") -> crashes.LostRun:
-    """Return a run that was lost at a server."""
+    """Return a run that was lost on a server."""
     fingerprint = fingerprints.Fingerprint(1, 2)
     return crashes.LostRun(ids.RequestId(request), entry, fingerprint, 0.1, False)
 
 
-def test_refused_connection_shows_the_crash_under_all_runs_lost_before() -> None:
+def test_refused_connection_confirms_the_crash_for_all_lost_runs() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     assert detector.add_loss(make_loss(entry, "r1"), 0.0) is None
     assert detector.add_loss(make_loss(entry, "r2"), 0.01) is None
-    name = crashes.name_incarnation(entry)
+    name = crashes.format_incarnation(entry)
     crash = detector.confirm(name, crashes.Evidence.REFUSED, 0.02)
     assert [run.request for run in crash.runs] == ["r1", "r2"]
     late = detector.add_loss(make_loss(entry, "r3"), 0.5)
@@ -40,56 +40,56 @@
     assert late.name == crash.name
 
 
-def test_reset_connection_of_a_server_that_accepts_is_no_crash() -> None:
-    """Guards against innocents that are suspected when answers are lost."""
+def test_reset_connection_is_no_crash_if_the_server_still_accepts() -> None:
+    """A lost answer alone must not make its request a suspect."""
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    detector.accept(entry, 0.02)
+    detector.record_accepted_connection(entry, 0.02)
     detector.add_loss(make_loss(entry), 0.03)
-    assert not detector.is_pending(crashes.name_incarnation(entry))
-    assert detector.follow(lambda _: None, 1.0) == []
+    assert not detector.is_pending(crashes.format_incarnation(entry))
+    assert detector.check_entries(lambda _: None, 1.0) == []
 
 
-def test_entry_that_lapses_shows_the_crash_of_a_silent_server() -> None:
+def test_lapsed_entry_confirms_the_crash() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    assert detector.follow(lambda _: entry, 1.0) == []
-    (crash,) = detector.follow(lambda _: None, 4.0)
+    assert detector.check_entries(lambda _: entry, 1.0) == []
+    (crash,) = detector.check_entries(lambda _: None, 4.0)
     assert crash.evidence is crashes.Evidence.LAPSED
 
 
-def test_entry_of_a_later_incarnation_shows_the_crash() -> None:
+def test_entry_of_a_later_incarnation_confirms_the_crash() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry(started_ms=10)
     detector.add_loss(make_loss(entry), 0.0)
-    (crash,) = detector.follow(lambda _: make_entry(started_ms=20), 2.0)
+    (crash,) = detector.check_entries(lambda _: make_entry(started_ms=20), 2.0)
     assert crash.evidence is crashes.Evidence.RESTARTED
     assert crash.name == "engine@10"
 
 
-def test_planned_end_of_a_server_is_no_crash() -> None:
-    """Guards against innocents that are suspected when servers are replaced."""
+def test_planned_departure_of_a_server_is_no_crash() -> None:
+    """Replacing a server must not make the requests on it suspects."""
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    assert detector.follow(lambda _: make_entry(is_leaving=True), 1.0) == []
-    assert detector.follow(lambda _: None, 2.0) == []
+    assert detector.check_entries(lambda _: make_entry(is_leaving=True), 1.0) == []
+    assert detector.check_entries(lambda _: None, 2.0) == []
 
 
-def test_loss_without_evidence_is_forgotten() -> None:
+def test_loss_without_evidence_expires() -> None:
     detector = crashes.CrashDetector()
     detector.add_loss(make_loss(make_entry()), 0.0)
-    late = crashes.PENDING_SECONDS + 0.1
-    assert detector.follow(lambda _: None, late) == []
+    late = crashes.EVIDENCE_TIMEOUT_SECONDS + 0.1
+    assert detector.check_entries(lambda _: None, late) == []
 
 
-def test_crash_that_a_peer_reports_covers_the_runs_lost_here() -> None:
+def test_crash_reported_by_a_peer_includes_the_runs_lost_here() -> None:
     detector = crashes.CrashDetector()
     entry = make_entry()
     detector.add_loss(make_loss(entry), 0.0)
-    name = crashes.name_incarnation(entry)
+    name = crashes.format_incarnation(entry)
     crash = detector.confirm(name, crashes.Evidence.REPORTED, 0.1)
     assert len(crash.runs) == 1
     assert detector.confirm(name, crashes.Evidence.REFUSED, 0.2) is None
