--- a/bench/costs.py
+++ b/bench/costs.py
@@ -243,7 +243,7 @@
     view = membership.Membership(make_member(1), random.Random(1))
     for index in range(2, members + 1):
         member = make_member(index)
-        view.learn(member, 0.0, member.router, spread=False)
+        view.handle_statement(member, 0.0, member.router, spread=False)
     return view
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -254,20 +254,20 @@
     generator: random.Random,
 ) -> bool:
     """Make one call; one answer in ten is lost. Returns whether it wrote."""
-    call = lease.choose(clock, name, wanted=True)
+    call = lease.next_call(clock, name, wanted=True)
     version = len(values) - 1
     lost = generator.random() < 0.1
-    if call.step is leases.Step.READ and not lost:
-        lease.take_read(values[-1], version, clock)
-    if call.step not in (leases.Step.CREATE, leases.Step.UPDATE):
+    if call.operation is leases.Operation.READ and not lost:
+        lease.record_read(values[-1], version, clock)
+    if call.operation not in (leases.Operation.CREATE, leases.Operation.UPDATE):
         return False
-    expected = 0 if call.step is leases.Step.CREATE else call.version
+    expected = 0 if call.operation is leases.Operation.CREATE else call.version
     if expected != version:
-        lease.take_conflict()
+        lease.record_conflict()
         return False
     values.append(call.record)
     if not lost:
-        lease.take_written(version + 1)
+        lease.record_written(version + 1)
     return True
 
 
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -36,7 +36,7 @@
 WAITING = 500
 """Waiting requests of a node: five seconds of its requests."""
 
-GOSSIP_REPEATS = gossip.count_repeats(NODES)
+GOSSIP_REPEATS = gossip.transmit_limit(NODES)
 """Datagrams of a node on which one fact rides."""
 
 SUM_SECONDS = 4.0
--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -81,7 +81,9 @@
         router.decision.set_seeds(other.peer_address for other in known)
         if len(known) > 1:
             for other in known:
-                router.decision.learn(other, self.now, member.router, spread=False)
+                router.decision.handle_statement(
+                    other, self.now, member.router, spread=False
+                )
         router.decision.changes.clear()
         self.routers[member.router] = router
         self._names[member.peer_address] = member.router
@@ -176,7 +178,7 @@
 
     def _exchange(self, first: ids.RouterId, second: ids.RouterId) -> None:
         for sender, target in ((first, second), (second, first)):
-            statements = self.routers[sender].decision.statements()
+            statements = self.routers[sender].decision.list_members()
             self._at(
                 EXCHANGE_DELAY_SECONDS,
                 lambda sender=sender, target=target, statements=statements: (
@@ -195,7 +197,9 @@
             return
         actions: list[statements.Action] = []
         for member in statements:
-            actions += router.decision.learn(member, self.now, sender, spread=False)
+            actions += router.decision.handle_statement(
+                member, self.now, sender, spread=False
+            )
         self._carry_out(target, router, actions)
 
 
--- a/celeryspan/decisions/beliefs.py
+++ b/celeryspan/decisions/beliefs.py
@@ -1,10 +1,9 @@
-"""What one router believes about the others, and which of two statements wins.
+"""Member table of one router, and the precedence of statements about a member.
 
-Failure answered: statements about a router arrive late, doubled and out of order.
-Without an order among them a router that was suspected a minute ago is suspected
-again, or a dead one comes back. Statements are ordered by incarnation, then by the
-number of refutations, then by state; the greatest wins wherever it arrives, so that
-all routers come to hold the same one.
+Statements about a router arrive late, duplicated and out of order. Without a total
+order a suspicion from a minute ago would be applied again, or a dead router would
+return. Statements are ordered by incarnation, then refutation count, then state; the
+greatest one wins on every router, so that all member tables converge.
 """
 
 from __future__ import annotations
@@ -21,55 +20,55 @@
     states.MemberState.LEAVING: 2,
     states.MemberState.DEAD: 3,
 }
-"""Leaving outranks suspect: a router on its way out gets no new work either way."""
+"""LEAVING outranks SUSPECT: a leaving router gets no new work, suspected or not."""
 
 PRESENT = (states.MemberState.ALIVE, states.MemberState.SUSPECT)
-"""States in which a router takes part: one that is only suspected mostly is well."""
+"""States in which a router takes part; most suspected routers are healthy."""
 
 REACHABLE = (*PRESENT, states.MemberState.LEAVING)
-"""States in which a router answers: one that is leaving still finishes its work."""
+"""States in which a router answers; a leaving one still finishes its work."""
 
 
-class Belief(msgspec.Struct):
+class MemberRecord(msgspec.Struct):
     """The winning statement about one router.
 
     Attributes
     ----------
     since : float
-        When its state was last changed, in seconds.
+        Time of the last state change, in seconds.
     """
 
     member: messages.Member
     since: float
 
 
-class Beliefs:
-    """The winning statement about each router known."""
+class MemberTable:
+    """The winning statement about each known router."""
 
     def __init__(self) -> None:
         self.digest = 0
-        self._beliefs: dict[ids.RouterId, Belief] = {}
-        self._by_state: dict[states.MemberState, dict[ids.RouterId, Belief]] = {
+        self._records: dict[ids.RouterId, MemberRecord] = {}
+        self._by_state: dict[states.MemberState, dict[ids.RouterId, MemberRecord]] = {
             state: {} for state in states.MemberState
         }
 
     def __len__(self) -> int:
-        return len(self._beliefs)
+        return len(self._records)
 
-    def find(self, router: ids.RouterId) -> Belief | None:
-        """Return what is believed about a router, or None."""
-        return self._beliefs.get(router)
+    def find(self, router: ids.RouterId) -> MemberRecord | None:
+        """Return the record of a router, or None."""
+        return self._records.get(router)
 
-    def list_all(self) -> list[Belief]:
-        """Return a copy of each belief."""
-        return [msgspec.structs.replace(belief) for belief in self._beliefs.values()]
+    def list_all(self) -> list[MemberRecord]:
+        """Return a copy of each record."""
+        return [msgspec.structs.replace(record) for record in self._records.values()]
 
     def select(self, *chosen: states.MemberState) -> list[messages.Member]:
         """Return the members in the given states; all if none is given."""
         return [
-            belief.member
+            record.member
             for state in chosen or tuple(states.MemberState)
-            for belief in self._by_state[state].values()
+            for record in self._by_state[state].values()
         ]
 
     def count(self, *chosen: states.MemberState) -> int:
@@ -77,48 +76,48 @@
         return sum(len(self._by_state[state]) for state in chosen)
 
     def merge(self, member: messages.Member, now: float) -> bool:
-        """Take a statement if it wins; returns whether it says something new.
+        """Apply a statement if it wins; returns whether it is new.
 
-        A statement that is equal but for a higher generation is taken without being
-        news: each router's generation rides on its own datagrams.
+        A statement that differs only by a higher generation is applied but does not
+        count as new, because each router sends its generation on its own datagrams.
         """
-        belief = self._beliefs.get(member.router)
-        if belief is None:
+        record = self._records.get(member.router)
+        if record is None:
             self._set(member, now)
             return True
-        if rank(member) > rank(belief.member):
+        if rank(member) > rank(record.member):
             self._set(member, now)
             return True
-        if rank(member) == rank(belief.member):
-            generation = max(member.generation, belief.member.generation)
-            if generation != belief.member.generation:
-                belief.member = msgspec.structs.replace(
-                    belief.member, generation=generation
+        if rank(member) == rank(record.member):
+            generation = max(member.generation, record.member.generation)
+            if generation != record.member.generation:
+                record.member = msgspec.structs.replace(
+                    record.member, generation=generation
                 )
         return False
 
     def forget(self, router: ids.RouterId) -> None:
-        """Hold no belief about a router any more."""
-        belief = self._beliefs.pop(router, None)
-        if belief is not None:
-            del self._by_state[belief.member.state][router]
-            self.digest ^= hash_member(belief.member)
+        """Remove the record of a router."""
+        record = self._records.pop(router, None)
+        if record is not None:
+            del self._by_state[record.member.state][router]
+            self.digest ^= hash_member(record.member)
 
     def _set(self, member: messages.Member, now: float) -> None:
         self.forget(member.router)
-        belief = Belief(member, now)
-        self._beliefs[member.router] = belief
-        self._by_state[member.state][member.router] = belief
+        record = MemberRecord(member, now)
+        self._records[member.router] = record
+        self._by_state[member.state][member.router] = record
         self.digest ^= hash_member(member)
 
 
 def rank(member: messages.Member) -> tuple[int, int, int]:
-    """Return what decides which of two statements about a router wins."""
+    """Return the sort key by which one statement about a router overrides another."""
     return member.incarnation, member.refutations, RANK[member.state]
 
 
 def hash_member(member: messages.Member) -> int:
-    """Return a member's part of the digest: 0 for the dead, which are forgotten."""
+    """Return a member's part of the digest; 0 if dead, as dead members are removed."""
     if member.state is states.MemberState.DEAD:
         return 0
     leaving = member.state is states.MemberState.LEAVING
--- a/celeryspan/decisions/callerlists.py
+++ b/celeryspan/decisions/callerlists.py
@@ -28,8 +28,8 @@
 both take some tenths of a second."""
 
 
-def choose(
-    known: Iterable[beliefs.Belief],
+def choose_addresses(
+    known: Iterable[beliefs.MemberRecord],
     data_centre: str | None,
     now: float,
     generator: random.Random,
@@ -49,7 +49,7 @@
     return [member.caller_address for member in found[:ADDRESSES_MAX]]
 
 
-def is_usable(belief: beliefs.Belief, now: float) -> bool:
+def is_usable(belief: beliefs.MemberRecord, now: float) -> bool:
     """Whether callers may use a router."""
     member = belief.member
     if member.state is not states.MemberState.ALIVE:
--- a/celeryspan/decisions/generations.py
+++ b/celeryspan/decisions/generations.py
@@ -22,7 +22,7 @@
 """No configuration at all; the first one written has generation 1."""
 
 
-class Verdict(enum.Enum):
+class OfferResult(enum.Enum):
     """What to do with an offered generation."""
 
     APPLY = "apply"
@@ -46,15 +46,15 @@
         """Whether there is any configuration to serve by."""
         return self.current > NONE
 
-    def judge(self, offered: ids.Generation) -> Verdict:
+    def evaluate(self, offered: ids.Generation) -> OfferResult:
         """Judge an offer from the store or from a peer."""
         if offered > self.current:
-            return Verdict.APPLY
-        return Verdict.SAME if offered == self.current else Verdict.OLD
+            return OfferResult.APPLY
+        return OfferResult.SAME if offered == self.current else OfferResult.OLD
 
     def apply(self, offered: ids.Generation) -> bool:
         """Put a generation in force if it is higher; returns whether it is now."""
-        if self.judge(offered) is not Verdict.APPLY:
+        if self.evaluate(offered) is not OfferResult.APPLY:
             return False
         self.current = offered
         return True
--- a/celeryspan/decisions/leases.py
+++ b/celeryspan/decisions/leases.py
@@ -44,12 +44,12 @@
 """Greatest time from the question whether a duty is held to the last effect of an
 order: 1 s to connect and 3 s for the answer, after which nothing more is sent."""
 
-MARGIN_SECONDS = 3.0
+CLOCK_MARGIN_SECONDS = 3.0
 """What others wait beyond the lease; a fifth of it covers clocks whose rates differ
 by a tenth, which no clock of a VM does for long."""
 
 
-class Step(enum.Enum):
+class Operation(enum.Enum):
     """What to ask the store for next."""
 
     NONE = "none"
@@ -100,7 +100,7 @@
 class Call(msgspec.Struct, frozen=True):
     """One call of the store; ``version`` is what an update replaces."""
 
-    step: Step
+    operation: Operation
     record: Record | None = None
     version: int = 0
 
@@ -120,11 +120,11 @@
         self._holder = holder
         self._record: Record | None = None
         self._version = 0
-        self._seen_at = math.inf
+        self._changed_at = math.inf
         self._valid_until = self._taken_at = -math.inf
         self._pending: tuple[Record, float] | None = None
         self._own_fence = 0
-        self._known = False
+        self._has_read = False
         self._call_at = -math.inf
 
     @property
@@ -147,7 +147,7 @@
             return False
         return checks_fence or now >= self._taken_at + ORDER_SECONDS
 
-    def choose(self, now: float, write: str, *, wanted: bool) -> Call:
+    def next_call(self, now: float, write: str, *, wanted: bool) -> Call:
         """Return the next call of the store.
 
         Parameters
@@ -158,58 +158,58 @@
             Whether this router should hold the duty if it can.
         """
         if now < self._call_at:
-            return Call(Step.NONE)
+            return Call(Operation.NONE)
         self._call_at = now + RENEW_SECONDS
         if not wanted:
-            return Call(Step.NONE)
-        if not self._known or self._pending is not None:
-            return Call(Step.READ)
+            return Call(Operation.NONE)
+        if not self._has_read or self._pending is not None:
+            return Call(Operation.READ)
         if self._record is None:
-            return self._write(Step.CREATE, Record(self._holder, 1, write), now)
+            return self._write(Operation.CREATE, Record(self._holder, 1, write), now)
         if self._record.holder == self._holder and self.holds(now):
             renewed = Record(self._holder, self._record.fence, write)
-            return self._write(Step.UPDATE, renewed, now)
-        if now - self._seen_at > LEASE_SECONDS + MARGIN_SECONDS:
+            return self._write(Operation.UPDATE, renewed, now)
+        if now - self._changed_at > LEASE_SECONDS + CLOCK_MARGIN_SECONDS:
             taken = Record(self._holder, self._record.fence + 1, write)
-            return self._write(Step.UPDATE, taken, now)
-        return Call(Step.READ)
+            return self._write(Operation.UPDATE, taken, now)
+        return Call(Operation.READ)
 
-    def take_read(self, record: Record | None, version: int, now: float) -> None:
+    def record_read(self, record: Record | None, version: int, now: float) -> None:
         """Note what a read found at ``now``; None if there is no object."""
         if version < self._version:
             return  # Old data: what was seen before is newer.
-        if not self._known or version != self._version:
-            self._seen_at = now
-        self._known = True
+        if not self._has_read or version != self._version:
+            self._changed_at = now
+        self._has_read = True
         self._record, self._version = record, version
-        self._settle_pending()
+        self._resolve_pending()
 
-    def take_written(self, version: int) -> None:
+    def record_written(self, version: int) -> None:
         """Note that the write under way took effect."""
         if self._pending is None:
             return
         record, sent_at = self._pending
         self._pending = None
         self._record, self._version = record, version
-        self._seen_at = sent_at
-        self._take_effect(record, sent_at)
+        self._changed_at = sent_at
+        self._begin_term(record, sent_at)
 
-    def take_conflict(self) -> None:
+    def record_conflict(self) -> None:
         """Note that the write lost: someone else has written."""
         self._pending = None
-        self._known = False
+        self._has_read = False
         self._valid_until = -math.inf
         self._call_at = -math.inf
 
-    def take_not_sent(self) -> None:
+    def record_not_sent(self) -> None:
         """Note that the call was held back and certainly took no effect."""
         self._pending = None
 
-    def _write(self, step: Step, record: Record, now: float) -> Call:
+    def _write(self, step: Operation, record: Record, now: float) -> Call:
         self._pending = (record, now)
         return Call(step, record, self._version)
 
-    def _settle_pending(self) -> None:
+    def _resolve_pending(self) -> None:
         """Find out whether the write without an answer took effect.
 
         A write that did not may still be on its way. It is then refused for its
@@ -221,11 +221,11 @@
         record, sent_at = self._pending
         self._pending = None
         if self._record is not None and self._record.write == record.write:
-            self._take_effect(record, sent_at)
+            self._begin_term(record, sent_at)
         elif self._record is not None and self._record.holder != self._holder:
             self._valid_until = -math.inf
 
-    def _take_effect(self, record: Record, sent_at: float) -> None:
+    def _begin_term(self, record: Record, sent_at: float) -> None:
         if record.fence != self._own_fence:
             self._own_fence = record.fence
             self._taken_at = sent_at
--- a/celeryspan/decisions/membership.py
+++ b/celeryspan/decisions/membership.py
@@ -1,19 +1,20 @@
-"""Which routers take part, found out by random probes and told by gossip.
-
-Failure answered: a router dies, pauses, is cut off or restarts, and nobody says so.
-Without this module its share of the backend servers' slots idles and callers are sent
-to a dead address. Heartbeats from all to all would cost 1,300 messages a period at
-each router; here each router probes one other a period, so that its cost is the same
-in a fleet of any size (the SWIM protocol of Das, Gupta and Motivala, 2002, with the
-incarnation of each router taken from its clock and a separate count of refutations).
-
-* A suspected router takes part until the suspicion is old. It hears of it on any
-  datagram that it is sent, and refutes by raising its count of refutations.
-* A router that was paused finds that its own clock jumped: it throws away the probes
-  that were under way, since their answers were not read, and learns from the first
-  answer that it was held dead; the refutation brings it back.
-* Dead routers are probed at a slow rate. When a cut heals, the first datagram across
-  it starts an exchange of all beliefs, and the refutations go through both halves.
+"""Failure detection and membership of the router fleet, based on SWIM.
+
+Guards against routers that crash, pause, lose the network or restart without notice.
+Undetected, their share of the backend servers' slots stays unused and callers are sent
+to dead addresses. All-to-all heartbeats would cost each router 1,300 messages a period.
+Here each router probes one other per period, so the cost per router does not depend on
+the size of the fleet. The protocol is SWIM (Das, Gupta and Motivala, 2002), except that
+incarnations are taken from the clock and refutations are counted separately.
+
+* A suspected router still takes part until the suspicion times out. Every datagram
+  sent to it carries the suspicion; it refutes by incrementing its refutation count.
+* A router that was paused detects a jump of its own clock. It discards the probes in
+  flight, because their acks were not read, and learns from the first reply that it was
+  declared dead; its refutation makes it a member again.
+* Dead routers are probed at a low rate. After a network partition heals, the first
+  datagram across it starts an exchange of the whole member table, and the refutations
+  spread through both halves.
 """
 
 from __future__ import annotations
@@ -29,37 +30,38 @@
 from celeryspan.wire import messages
 
 SUSPECT_SECONDS = 1.5
-"""Time to refute, beside the term for the spread of the suspicion."""
+"""Time to refute a suspicion, without the time that the suspicion takes to spread."""
 
 SUSPECT_SECONDS_PER_DOUBLING = 0.3
-"""A fact reaches twice as many routers in about 0.15 s; there and back is twice."""
+"""Gossip doubles the routers that know a fact in about 0.15 s; twice that covers the
+suspicion and its refutation."""
 
-PAUSE_SECONDS = 1.0
-"""A gap between two ticks from which this router holds itself for paused."""
+PAUSE_THRESHOLD_SECONDS = 1.0
+"""A longer gap between two ticks means that this router itself was paused."""
 
 RECONTACT_SECONDS = 2.0
-"""Time between two probes of routers that are dead or were never heard."""
+"""Period of the probes to routers that are dead or have never answered."""
 
 FORGET_SECONDS = 3_600.0
-"""A dead router is forgotten after this long; regions lose each other for minutes, and
-the register still names it."""
+"""Dead routers are removed after this time. Regions can lose each other for minutes,
+and the register still lists the routers that are removed."""
 
-DIFFERENCE_SECONDS = 10.0
-"""Digests that differ this long are no change on its way but a lost one."""
+DIGEST_MISMATCH_SECONDS = 10.0
+"""Digests that differ for longer indicate a lost update rather than one in flight."""
 
 
 class Membership(statements.Statements):
-    """The membership as one router sees it.
+    """The membership of the fleet as seen by one router.
 
-    Call :meth:`tick` about ten times a second and :meth:`receive` for each datagram;
-    carry out the actions that they return.
+    Call :meth:`tick` about ten times a second and :meth:`receive` for each datagram,
+    and execute the actions that they return.
 
     Parameters
     ----------
     own : Member
         This router, alive.
     generator : random.Random
-        Draws whom to probe.
+        Selects the routers to probe.
     """
 
     def __init__(self, own: messages.Member, generator: random.Random) -> None:
@@ -67,20 +69,20 @@
         self._probing = probing.Probing(generator)
         self._seeds: tuple[ids.Address, ...] = ()
         self._ticked_at = self._probe_at = self._recontact_at = -math.inf
-        self._differs_since = math.inf
+        self._mismatch_since = math.inf
 
     def set_seeds(self, seeds: Iterable[ids.Address]) -> None:
         """Set the addresses at which routers should exist."""
         self._seeds = tuple(seed for seed in seeds if seed != self.own.peer_address)
 
     def tick(self, now: float) -> list[statements.Action]:
-        """Return what is due: probes, help for them, suspicions that are old."""
+        """Check the timeouts of probes and suspicions and return the probes to send."""
         gap = now - self._ticked_at
         self._ticked_at = now
-        if PAUSE_SECONDS < gap < math.inf:
-            self._wake(gap)
-        actions = self._follow_probes(now)
-        self._end_suspicions(now)
+        if PAUSE_THRESHOLD_SECONDS < gap < math.inf:
+            self._recover_from_pause(gap)
+        actions = self._check_probes(now)
+        self._expire_suspects(now)
         if now >= self._probe_at:
             self._probe_at = now + probing.PERIOD_SECONDS
             actions += self._probe_next(now)
@@ -96,96 +98,101 @@
         address: ids.Address,
         batch: Iterable[messages.Message],
     ) -> list[statements.Action]:
-        """Take a datagram of a peer and return the answers.
+        """Process a datagram from a peer and return the replies.
 
         Parameters
         ----------
         address : Address
-            Where the datagram came from.
+            Source address of the datagram.
         """
         actions: list[statements.Action] = []
         for message in batch:
             match message:
                 case messages.Member():
-                    actions += self.learn(message, now, sender)
+                    actions += self.handle_statement(message, now, sender)
                 case messages.Probe():
-                    actions += self._answer(message, now, sender, address)
+                    actions += self._handle_probe(message, now, sender, address)
                 case messages.ProbeRequest():
-                    actions += self._help(message, now, address)
+                    actions += self._handle_probe_request(message, now, address)
                 case messages.Ack():
-                    actions += self._take_ack(message)
+                    actions += self._handle_ack(message)
         return actions
 
-    def _wake(self, gap: float) -> None:
-        """Allow for a pause of this router itself.
+    def _recover_from_pause(self, gap: float) -> None:
+        """Discard probes and extend suspicions after a pause of this router itself.
 
-        While it was paused, answers to its probes were not read and refutations were
-        not heard. Without this it would suspect, or bury, routers that are well.
+        During the pause it read no acks and no refutations; without this it would
+        suspect healthy routers or declare them dead.
         """
         self._probing.clear()
-        for member in self.beliefs.select(states.MemberState.SUSPECT):
-            self.beliefs.find(member.router).since += gap
+        for member in self.members.select(states.MemberState.SUSPECT):
+            self.members.find(member.router).since += gap
 
-    def _follow_probes(self, now: float) -> list[statements.Action]:
+    def _check_probes(self, now: float) -> list[statements.Action]:
         actions: list[statements.Action] = []
         overdue = self._probing.collect(now)
         for sequence, target in overdue.unanswered:
-            actions += self._ask_help(sequence, target)
+            actions += self._probe_indirectly(sequence, target)
         for target in overdue.failed:
             actions += self._suspect(target, now)
         return actions
 
-    def _ask_help(
+    def _probe_indirectly(
         self, sequence: int, target: messages.Member
     ) -> list[statements.Action]:
+        """Repeat a probe directly and through randomly selected peers."""
         actions = [self._send(target, self._make_probe(sequence))]
-        others = [other for other in self._present() if other.router != target.router]
+        others = [
+            other for other in self._list_present() if other.router != target.router
+        ]
         request = messages.ProbeRequest(sequence, target.router)
-        helpers = self._generator.sample(others, min(probing.HELPERS, len(others)))
-        return actions + [self._send(helper, request) for helper in helpers]
+        count = min(probing.INDIRECT_PROBES, len(others))
+        peers = self._generator.sample(others, count)
+        return actions + [self._send(peer, request) for peer in peers]
 
     def _suspect(self, target: messages.Member, now: float) -> list[statements.Action]:
-        """Suspect a member, unless something newer is known of it, and tell it so.
+        """Suspect a member that failed its probe, and notify it.
 
-        One that was leaving is held dead at once: nobody waits for its return.
+        Does nothing if a newer statement has arrived since the probe. A member that
+        was leaving is declared dead at once, because it will not return.
         """
-        known = self.beliefs.find(target.router)
+        known = self.members.find(target.router)
         if known is None or beliefs.rank(known.member) != beliefs.rank(target):
             return []
         if target.state is states.MemberState.SUSPECT:
             return []
         leaving = target.state is states.MemberState.LEAVING
         state = states.MemberState.DEAD if leaving else states.MemberState.SUSPECT
-        doubted = msgspec.structs.replace(target, state=state)
-        self.learn(doubted, now, self.own.router)
-        return [self._send(doubted)]
-
-    def _end_suspicions(self, now: float) -> None:
-        """Declare dead whom nobody has heard; forget those gone for long."""
-        limit = suspicion_seconds(len(self.beliefs))
-        for member in self.beliefs.select(states.MemberState.SUSPECT):
-            if now - self.beliefs.find(member.router).since >= limit:
+        suspected = msgspec.structs.replace(target, state=state)
+        self.handle_statement(suspected, now, self.own.router)
+        return [self._send(suspected)]
+
+    def _expire_suspects(self, now: float) -> None:
+        """Declare expired suspects dead and remove members that died long ago."""
+        limit = suspicion_seconds(len(self.members))
+        for member in self.members.select(states.MemberState.SUSPECT):
+            if now - self.members.find(member.router).since >= limit:
                 dead = msgspec.structs.replace(member, state=states.MemberState.DEAD)
-                self.learn(dead, now, self.own.router)
-        for member in self.beliefs.select(states.MemberState.DEAD):
-            if now - self.beliefs.find(member.router).since >= FORGET_SECONDS:
-                self.beliefs.forget(member.router)
+                self.handle_statement(dead, now, self.own.router)
+        for member in self.members.select(states.MemberState.DEAD):
+            if now - self.members.find(member.router).since >= FORGET_SECONDS:
+                self.members.forget(member.router)
 
     def _probe_next(self, now: float) -> list[statements.Action]:
-        for _ in range(len(self.beliefs)):
+        for _ in range(len(self.members)):
             router = self._probing.choose(self._list_reachable)
-            belief = self.beliefs.find(router) if router is not None else None
-            if belief is not None and belief.member.state in beliefs.REACHABLE:
-                sequence = self._probing.begin(belief.member, now)
-                return [self._send(belief.member, self._make_probe(sequence))]
+            record = self.members.find(router) if router is not None else None
+            if record is not None and record.member.state in beliefs.REACHABLE:
+                sequence = self._probing.begin(record.member, now)
+                return [self._send(record.member, self._make_probe(sequence))]
         return []
 
     def _recontact(self, now: float) -> list[statements.Action]:
-        """Probe one router that is dead, or an address where none is known."""
+        """Probe one dead router, or one seed address without a known router."""
         known = {member.peer_address for member in self._list_reachable()}
         lost = [
             member.peer_address
-            for member in self.beliefs.select(states.MemberState.DEAD)
+            for member in self.members.select(states.MemberState.DEAD)
             if member.peer_address not in known
         ]
         lost += [seed for seed in self._seeds if seed not in known]
@@ -199,52 +206,52 @@
         return messages.Probe(sequence, self._digest())
 
     def _digest(self) -> int:
-        return self.beliefs.digest ^ beliefs.hash_member(self.own)
+        return self.members.digest ^ beliefs.hash_member(self.own)
 
-    def _answer(
+    def _handle_probe(
         self,
         probe: messages.Probe,
         now: float,
         sender: ids.RouterId,
         address: ids.Address,
     ) -> list[statements.Action]:
-        known = self.beliefs.find(sender)
+        known = self.members.find(sender)
         ack = messages.Ack(probe.sequence, self.own.router)
         answer = self._send_to(address, known and known.member, ack)
-        return [answer, *self._compare(probe.digest, now, sender)]
+        return [answer, *self._check_digest(probe.digest, now, sender)]
 
-    def _compare(
+    def _check_digest(
         self, digest: int, now: float, sender: ids.RouterId
     ) -> list[statements.Action]:
-        """Ask for an exchange when beliefs differ for longer than news travel."""
+        """Request an exchange if digests differ for longer than gossip takes."""
         if digest == self._digest():
-            self._differs_since = math.inf
+            self._mismatch_since = math.inf
             return []
-        self._differs_since = min(self._differs_since, now)
-        lasts = now - self._differs_since >= DIFFERENCE_SECONDS
-        if not lasts and now >= self._heals_until:
+        self._mismatch_since = min(self._mismatch_since, now)
+        persists = now - self._mismatch_since >= DIGEST_MISMATCH_SECONDS
+        if not persists and now >= self._resync_until:
             return []
         return self._exchange(now, sender)
 
-    def _help(
-        self, request: messages.ProbeRequest, now: float, asker: ids.Address
+    def _handle_probe_request(
+        self, request: messages.ProbeRequest, now: float, requester: ids.Address
     ) -> list[statements.Action]:
-        known = self.beliefs.find(request.target)
+        known = self.members.find(request.target)
         if known is None:
             return []
-        sequence = self._probing.begin_relay(
-            asker, request.sequence, request.target, now
+        sequence = self._probing.begin_indirect(
+            requester, request.sequence, request.target, now
         )
         return [self._send(known.member, self._make_probe(sequence))]
 
-    def _take_ack(self, ack: messages.Ack) -> list[statements.Action]:
-        relay = self._probing.finish(ack.sequence)
-        if relay is None:
+    def _handle_ack(self, ack: messages.Ack) -> list[statements.Action]:
+        probe = self._probing.finish(ack.sequence)
+        if probe is None:
             return []
-        passed_on = messages.Ack(relay.sequence, relay.subject)
-        return [self._send_to(relay.asker, None, passed_on)]
+        forwarded = messages.Ack(probe.sequence, probe.subject)
+        return [self._send_to(probe.requester, None, forwarded)]
 
 
 def suspicion_seconds(members: int) -> float:
-    """Return how long a router may be suspected before it counts as dead."""
+    """Return how long a router may be suspected before it is declared dead."""
     return SUSPECT_SECONDS + SUSPECT_SECONDS_PER_DOUBLING * math.log2(members + 2)
--- a/celeryspan/decisions/relays.py
+++ b/celeryspan/decisions/relays.py
@@ -37,46 +37,46 @@
 """How long a watch waits. A connection that has gone silent is found this much later
 and a little more; a leaving server must be known within two seconds."""
 
-READER_GATHER_SECONDS = 0.1
+READER_COALESCE_SECONDS = 0.1
 """How long a reader lets changes gather before it watches again: a watch ends with the
 first change, and 100 servers that start within seconds would end one for each. Added
 to the time in which a leaving server must be known, two seconds, it is a twentieth."""
 
-GATHER_SECONDS = 0.5
+COALESCE_SECONDS = 0.5
 """The same for a router that reads only until it hears others."""
 
-TELL_SECONDS = 0.8
+KEEPALIVE_SECONDS = 0.8
 """Time after which somebody who was told nothing is told so: the word is that the store
 does not answer, since each answer is told at once."""
 
-FRESH_SECONDS = 1.8
+FRESH_SECONDS_RELAYS = 1.8
 """A relay takes a word for fresh this long: a watch, and eight tenths of a second for
 slow answers. Leaving servers must be known within two seconds."""
 
 FRESH_SECONDS_OTHERS = 2.6
 """The same for routers that hear relays, which read meanwhile and need a moment."""
 
-FRESHER_SECONDS = 0.7
+FRESHNESS_STEP_SECONDS = 0.7
 """A word without news is passed on if it is this much fresher than the last one: one
 of the two readers is enough, and each hears from the store once a second."""
 
-ASK_SECONDS = 3.0
+SUBSCRIBE_PERIOD_SECONDS = 3.0
 """How often a source is asked again, in case that it has forgotten the asker."""
 
-ASK_SECONDS_SILENT = 1.0
+SUBSCRIBE_PERIOD_SILENT_SECONDS = 1.0
 """The same while it says nothing."""
 
-SERVED_SECONDS = 10.0
+SUBSCRIPTION_SECONDS = 10.0
 """How long a router that has asked is told news: three lost questions."""
 
-FORGET_SECONDS = 10.0
+REPORT_EXPIRY_SECONDS = 10.0
 """A word this old tells nothing about the router that gave it."""
 
 SETTLE_SECONDS = 1.0
 """How long a router that knows no other one waits before it takes itself for a reader:
 at the first start of a fleet nobody knows anybody, and all would read."""
 
-PATIENCE_SECONDS = (1.5, 2.5)
+STARTUP_DELAY_SECONDS = (1.5, 2.5)
 """How long a router that has just started leaves it to others to tell it. Drawn between
 the two: those that wait in vain must not come to the store together."""
 
@@ -132,7 +132,7 @@
     return tuple([*first, *others][:READERS])
 
 
-class Word(msgspec.Struct, frozen=True):
+class SourceReport(msgspec.Struct, frozen=True):
     """What another router has said of the store.
 
     Attributes
@@ -167,9 +167,9 @@
     """
 
     def __init__(self, own: ids.RouterId, now: float, patience: float) -> None:
-        self._words: dict[ids.RouterId, Word] = {}
+        self._reports: dict[ids.RouterId, SourceReport] = {}
         self._settled_at = now + SETTLE_SECONDS
-        self._patient_until = now + patience
+        self._startup_delay_until = now + patience
         self.duties = Duties((own,), (), is_reader=True, is_relay=True)
 
     def set_duties(self, duties: Duties, *, is_settled: bool = False) -> None:
@@ -185,45 +185,47 @@
         if is_settled:
             self._settled_at = float("-inf")
 
-    def note_word(
+    def record_report(
         self, source: ids.RouterId, age: float, now: float, *, is_away: bool
     ) -> None:
         """Note what a source says; ``age`` is the age of its knowledge, in seconds."""
-        self._words[source] = Word(now - age, is_away, now)
+        self._reports[source] = SourceReport(now - age, is_away, now)
 
-    def forget(self, now: float) -> None:
+    def expire_reports(self, now: float) -> None:
         """Drop what was said long ago."""
-        self._words = {
+        self._reports = {
             source: word
-            for source, word in self._words.items()
-            if now - word.read_at < FORGET_SECONDS
+            for source, word in self._reports.items()
+            if now - word.read_at < REPORT_EXPIRY_SECONDS
         }
 
     def read_at(self) -> float:
         """Return when a source last had an answer of the store; -inf if none had."""
-        return max((word.read_at for word in self._words.values()), default=-1e9)
+        return max((word.read_at for word in self._reports.values()), default=-1e9)
 
     def is_fresh(self, now: float) -> bool:
         """Whether some source knows the store's present state."""
-        limit = FRESH_SECONDS if self.duties.is_relay else FRESH_SECONDS_OTHERS
+        limit = FRESH_SECONDS_RELAYS if self.duties.is_relay else FRESH_SECONDS_OTHERS
         return now - self.read_at() <= limit
 
-    def must_ask(self, source: ids.RouterId, asked_at: float, now: float) -> bool:
+    def must_subscribe(self, source: ids.RouterId, asked_at: float, now: float) -> bool:
         """Whether a source is due to be asked, after it was at a moment."""
-        word = self._words.get(source)
-        is_silent = word is None or now - word.heard_at > FRESH_SECONDS
-        return now - asked_at >= (ASK_SECONDS_SILENT if is_silent else ASK_SECONDS)
+        word = self._reports.get(source)
+        is_silent = word is None or now - word.heard_at > FRESH_SECONDS_RELAYS
+        return now - asked_at >= (
+            SUBSCRIBE_PERIOD_SILENT_SECONDS if is_silent else SUBSCRIBE_PERIOD_SECONDS
+        )
 
     def is_away(self) -> bool:
         """Whether the store answers no source that has said anything."""
-        return bool(self._words) and all(w.is_away for w in self._words.values())
+        return bool(self._reports) and all(w.is_away for w in self._reports.values())
 
-    def gather_seconds(self) -> float:
+    def coalesce_seconds(self) -> float:
         """Return how long changes may gather before the store is watched again."""
-        return READER_GATHER_SECONDS if self.duties.is_reader else GATHER_SECONDS
+        return READER_COALESCE_SECONDS if self.duties.is_reader else COALESCE_SECONDS
 
     def must_read(self, now: float) -> bool:
         """Whether this router has to read the store itself."""
         if self.duties.is_reader:
             return now >= self._settled_at
-        return now >= self._patient_until and not self.is_fresh(now)
+        return now >= self._startup_delay_until and not self.is_fresh(now)
--- a/celeryspan/decisions/statements.py
+++ b/celeryspan/decisions/statements.py
@@ -1,9 +1,9 @@
-"""What a router takes from statements about routers, and what it answers to them.
+"""Handling of statements: the member states that routers report about each other.
 
-Failure answered: statements contradict each other, some are about this router itself,
-and some come from a router that is held dead or of an old life. Without this module a
-router that is well stays dead for the fleet, and a cut that heals spreads deaths.
-The reasons stand in :mod:`celeryspan.decisions.membership`, which probes.
+Statements can contradict each other, concern this router itself, or come from a router
+that is considered dead or has an old incarnation. Without these rules a healthy router
+would stay dead for the fleet, and a healed network partition would spread false deaths.
+:mod:`celeryspan.decisions.membership` describes the protocol and sends the probes.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from celeryspan.wire import messages
 
 EXCHANGE_SECONDS = 1.25
-"""Least time between two exchanges that this router asks for: 1,300 members are about
-70 KB, and only a healed cut needs several in a row."""
+"""Minimum time between two exchanges that this router requests: 1,300 members are about
+70 KB, and only a healed partition needs several in a row."""
 
-HEAL_SECONDS = 30.0
-"""After meeting a router across a healed cut, any difference of digests is worth an
-exchange for this long: hundreds of refutations are more than gossip carries."""
+RESYNC_SECONDS = 30.0
+"""After contact across a healed partition, any digest mismatch triggers an exchange for
+this long: gossip does not carry hundreds of refutations."""
 
-URGENT_TARGETS = 3
-"""Routers told at once of a fact that can't wait for the next probe."""
+URGENT_FANOUT = 3
+"""Routers that receive an urgent fact at once instead of with the next probe."""
 
 
 class Change(enum.Enum):
-    """What has changed about a member."""
+    """Kind of change of a member."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -50,7 +50,7 @@
 
 
 class Exchange(msgspec.Struct, frozen=True):
-    """Exchange all beliefs with a peer over a link."""
+    """Exchange the whole member table with a peer over a link."""
 
     peer: ids.RouterId
 
@@ -59,36 +59,36 @@
 
 
 class Statements:
-    """The statements that one router holds, its own among them.
+    """The statements that one router holds, including the one about itself.
 
     Parameters
     ----------
     own : Member
         This router, alive.
     generator : random.Random
-        Draws whom to tell.
+        Selects the routers that receive urgent facts.
 
     Attributes
     ----------
     changes : list
-        What has changed, for the caller to take out.
+        Changes of members; the caller processes and clears them.
     """
 
     def __init__(self, own: messages.Member, generator: random.Random) -> None:
         self.own = own
         self.gossip = gossip.Gossip()
-        self.beliefs = beliefs.Beliefs()
+        self.members = beliefs.MemberTable()
         self.changes: list[tuple[Change, messages.Member]] = []
         self._generator = generator
         self._exchange_at = -math.inf
-        self._heals_until = -math.inf
+        self._resync_until = -math.inf
 
     def set_generation(self, generation: ids.Generation) -> None:
-        """Set the generation that this router has in force."""
+        """Set the configuration generation that this router applies."""
         self.own = msgspec.structs.replace(self.own, generation=generation)
 
     def set_busy(self, is_busy: bool) -> list[Action]:
-        """Say that this router's processor has no time left, or has some again."""
+        """Announce that this router's processor is saturated, or no longer is."""
         self.own = msgspec.structs.replace(
             self.own, is_busy=is_busy, refutations=self.own.refutations + 1
         )
@@ -97,27 +97,27 @@
         return self.spread_now()
 
     def alive(self) -> list[messages.Member]:
-        """Return the routers that run, this one first; some may be leaving."""
-        return [self.own, *self.beliefs.select(*beliefs.REACHABLE)]
+        """Return the reachable routers, this one first; some may be leaving."""
+        return [self.own, *self.members.select(*beliefs.REACHABLE)]
 
-    def statements(self) -> list[messages.Member]:
-        """Return all beliefs, for an exchange."""
-        return [self.own, *self.beliefs.select()]
+    def list_members(self) -> list[messages.Member]:
+        """Return all members in any state, for an exchange."""
+        return [self.own, *self.members.select()]
 
     def leave(self, state: states.MemberState) -> list[Action]:
-        """Say that this router is leaving, or is gone (``DEAD``)."""
+        """Announce that this router is leaving, or has stopped (``DEAD``)."""
         self.own = msgspec.structs.replace(
             self.own, state=state, refutations=self.own.refutations + 1
         )
         return self.spread_now()
 
     def spread_now(self) -> list[Action]:
-        """Tell a few random routers the newest facts at once."""
-        others = self._present()
-        targets = self._generator.sample(others, min(URGENT_TARGETS, len(others)))
+        """Send the newest facts to a few random routers at once."""
+        others = self._list_present()
+        targets = self._generator.sample(others, min(URGENT_FANOUT, len(others)))
         return [self._send(target) for target in targets]
 
-    def learn(
+    def handle_statement(
         self,
         member: messages.Member,
         now: float,
@@ -125,48 +125,48 @@
         *,
         spread: bool = True,
     ) -> list[Action]:
-        """Take one statement about a member.
+        """Process one statement about a member.
 
         Parameters
         ----------
         spread : bool
-            Whether to pass on what is new; not after an exchange, in which a router
-            that joins hears of the whole fleet.
+            Whether to gossip a statement that is new. False for exchanges, in which a
+            joining router receives the whole fleet.
         """
         if member.router == self.own.router:
-            return self._hear_of_self(member, now, sender)
-        known = self.beliefs.find(member.router)
+            return self._handle_own_statement(member, now, sender)
+        known = self.members.find(member.router)
         before = known.member if known is not None else None
-        member = self._doubt(before, member, sender)
-        alone = not len(self.beliefs)
-        if not self.beliefs.merge(member, now):
-            return self._correct(before, member, now, sender)
+        member = self._downgrade_dead(before, member, sender)
+        alone = not len(self.members)
+        if not self.members.merge(member, now):
+            return self._reply_to_stale_sender(before, member, now, sender)
         if spread:
             self.gossip.put(member.router, member)
-        self._note_change(before, member)
+        self._record_change(before, member)
         if alone:
             return self._exchange(now, sender)
         if spread and member.state is states.MemberState.LEAVING:
             return self.spread_now()
         return []
 
-    def _present(self) -> list[messages.Member]:
-        return self.beliefs.select(*beliefs.PRESENT)
+    def _list_present(self) -> list[messages.Member]:
+        return self.members.select(*beliefs.PRESENT)
 
     def _list_reachable(self) -> list[messages.Member]:
-        return self.beliefs.select(*beliefs.REACHABLE)
+        return self.members.select(*beliefs.REACHABLE)
 
-    def _doubt(
+    def _downgrade_dead(
         self,
         before: messages.Member | None,
         member: messages.Member,
         sender: ids.RouterId,
     ) -> messages.Member:
-        """Take the death of a router that seems well for a suspicion only.
+        """Treat a reported death of a router that is alive here as a suspicion.
 
-        When a cut heals, each half tells the other that its members are dead. Were
-        that believed at once, a whole fleet that is well would hold itself dead until
-        each refutation has arrived; a suspected router takes part meanwhile.
+        When a partition heals, each half reports the members of the other half as
+        dead. Accepting that at once would make a healthy fleet consider itself dead
+        until every refutation has arrived; a suspected router still takes part.
         """
         if before is None or member.state is not states.MemberState.DEAD:
             return member
@@ -176,30 +176,31 @@
             return member
         return msgspec.structs.replace(member, state=states.MemberState.SUSPECT)
 
-    def _hear_of_self(
+    def _handle_own_statement(
         self, member: messages.Member, now: float, sender: ids.RouterId
     ) -> list[Action]:
-        """Refute what others say of this router if it would win over its own word."""
+        """Refute a statement about this router that would override its own."""
         if beliefs.rank(member) <= beliefs.rank(self.own):
             return []
         if member.state is states.MemberState.DEAD:
-            self._heals_until = now + HEAL_SECONDS
+            self._resync_until = now + RESYNC_SECONDS
         if member.incarnation > self.own.incarnation:
-            return self._hear_of_successor(member)
+            return self._handle_newer_incarnation(member)
         refutations = member.refutations + 1
         self.own = msgspec.structs.replace(self.own, refutations=refutations)
         self.changes.append((Change.REFUTED, self.own))
         self.gossip.put(self.own.router, self.own)
-        known = self.beliefs.find(sender)
+        known = self.members.find(sender)
         answers = [self._send(known.member)] if known is not None else []
         return answers + self.spread_now()
 
-    def _hear_of_successor(self, member: messages.Member) -> list[Action]:
-        """Outdo a later life of this router, or give way to it.
+    def _handle_newer_incarnation(self, member: messages.Member) -> list[Action]:
+        """Exceed a newer incarnation of this router's name, or leave in its favour.
 
-        At the same address there is no other: the clock was set back between two
-        lives. Elsewhere another VM has taken the name while this one was paused or
-        cut off; were it outdone, the two would outdo each other for ever.
+        At the same address it is this router itself, whose clock was set back before
+        it restarted. At another address a VM has taken the name while this one was
+        paused or partitioned; exceeding that one would make the two raise their
+        incarnations in turn without end.
         """
         if member.peer_address == self.own.peer_address:
             incarnation = ids.Incarnation(member.incarnation + 1)
@@ -214,18 +215,18 @@
             self.changes.append((Change.LEAVING, self.own))
         return []
 
-    def _correct(
+    def _reply_to_stale_sender(
         self,
         known: messages.Member | None,
         member: messages.Member,
         now: float,
         sender: ids.RouterId,
     ) -> list[Action]:
-        """Tell a router that speaks, but is held dead or of an old life, so."""
+        """Notify a sender that is considered dead or has an old incarnation."""
         if known is None or known.router != sender:
             return []
         if known.state is states.MemberState.DEAD:
-            self._heals_until = now + HEAL_SECONDS
+            self._resync_until = now + RESYNC_SECONDS
             return [self._send(known), *self._exchange(now, sender)]
         if known.incarnation > member.incarnation:
             return [self._send_to(member.peer_address, None, known)]
@@ -237,13 +238,13 @@
         self._exchange_at = now + EXCHANGE_SECONDS * self._generator.uniform(1.0, 2.0)
         return [Exchange(peer)]
 
-    def _note_change(
+    def _record_change(
         self, before: messages.Member | None, member: messages.Member
     ) -> None:
-        renewed = before is None or before.incarnation < member.incarnation
-        was = None if renewed else before.state
+        restarted = before is None or before.incarnation < member.incarnation
+        previous = None if restarted else before.state
         if member.state is states.MemberState.ALIVE:
-            if was in (None, states.MemberState.DEAD, states.MemberState.LEAVING):
+            if previous in (None, states.MemberState.DEAD, states.MemberState.LEAVING):
                 self.changes.append((Change.JOINED, member))
             elif before is not None and before.is_busy is not member.is_busy:
                 self.changes.append((Change.LOAD, member))
@@ -263,10 +264,10 @@
         member: messages.Member | None,
         *extra: messages.Message,
     ) -> Send:
-        """Make a datagram: this router, what is held of the receiver, and news."""
+        """Build a datagram: own state, receiver's state unless alive, and gossip."""
         batch: list[messages.Message] = [self.own]
         if member is not None and member.state is not states.MemberState.ALIVE:
             batch.append(member)
         batch += extra
-        batch += self.gossip.take(len(self.beliefs) + 1)
+        batch += self.gossip.take(len(self.members) + 1)
         return Send(address, tuple(batch))
--- a/celeryspan/decisions/storelog.py
+++ b/celeryspan/decisions/storelog.py
@@ -53,9 +53,9 @@
         self.at: int | None = None
         self._objects: dict[str, storedobjects.StoredObject] = {}
         self._batches: collections.deque[Batch] = collections.deque(maxlen=depth)
-        self._changed_at = 0
+        self._last_change_at = 0
 
-    def take(self, batch: Batch) -> bool:
+    def apply(self, batch: Batch) -> bool:
         """Take in a batch; returns False if it brings nothing or leaves a gap."""
         if self.at is not None and batch.at <= self.at:
             return False
@@ -70,25 +70,25 @@
             else:
                 self._objects[change.object.name] = change.object
         if not batch.is_whole:
-            self._keep(batch)
+            self._append(batch)
         if batch.is_whole or batch.changes:
-            self._changed_at = batch.at
+            self._last_change_at = batch.at
         self.at = batch.at
         return True
 
-    def is_behind(self, batch: Batch) -> bool:
+    def has_gap_before(self, batch: Batch) -> bool:
         """Whether a batch shows that changes are missing here."""
         return not batch.is_whole and (self.at is None or batch.above > self.at)
 
-    def has_news(self, above: int) -> bool:
+    def has_changes_since(self, above: int) -> bool:
         """Whether anything has changed above a revision."""
-        return self.at is not None and above < self._changed_at
+        return self.at is not None and above < self._last_change_at
 
-    def since(self, above: int) -> Batch | None:
+    def batch_since(self, above: int) -> Batch | None:
         """Return what leads from a revision to the present; None without a list."""
         if self.at is None:
             return None
-        if above >= self._changed_at:
+        if above >= self._last_change_at:
             return Batch(min(above, self.at), self.at, ())
         changes: list[storedobjects.Change] = []
         reached = False
@@ -101,7 +101,7 @@
         every = (storedobjects.Change(each, False) for each in self._objects.values())
         return Batch(0, self.at, tuple(every), is_whole=True)
 
-    def _keep(self, batch: Batch) -> None:
+    def _append(self, batch: Batch) -> None:
         """Add a batch; one without changes makes the one before it reach further."""
         last = self._batches[-1] if self._batches else None
         if last is not None and not batch.changes and batch.above <= last.at:
--- a/celeryspan/decisions/turns.py
+++ b/celeryspan/decisions/turns.py
@@ -13,11 +13,11 @@
 from celeryspan import ids
 
 
-def find_turn(own: ids.RouterId, routers: Iterable[ids.RouterId], duty: str) -> int:
+def find_position(own: ids.RouterId, routers: Iterable[ids.RouterId], duty: str) -> int:
     """Return how many of some routers come before this one in a duty."""
-    mine = _draw(own, duty)
-    return sum(_draw(router, duty) < mine for router in routers if router != own)
+    mine = _sort_key(own, duty)
+    return sum(_sort_key(router, duty) < mine for router in routers if router != own)
 
 
-def _draw(router: ids.RouterId, duty: str) -> tuple[int, ids.RouterId]:
+def _sort_key(router: ids.RouterId, duty: str) -> tuple[int, ids.RouterId]:
     return xxhash.xxh3_64_intdigest(f"{duty} {router}".encode()), router
--- a/celeryspan/decisions/watchers.py
+++ b/celeryspan/decisions/watchers.py
@@ -1,14 +1,15 @@
-"""Which routers call the platform on behalf of all.
-
-Failure answered: each waiting watch and each poll is a paid call, and 1,300 of them
-wear out a store that takes two thousand reads a second. Without this module the calls
-grow with the fleet; with one fixed router they end when it dies.
-
-Each router works out the same few routers from the membership: those with the lowest
-hash of duty and name. When one of them dies the next in order takes its place as soon
-as the membership says so. Two routers that see different memberships may both act or,
-for the seconds until the membership agrees, miss a change; :func:`check_seconds` says
-how often every other router looks for itself, so that nothing is missed for good.
+"""Selection of the routers that call the platform on behalf of the fleet.
+
+Each long-poll watch and each poll is a paid call, and 1,300 of them overload a store
+that handles two thousand reads a second. If every router called, the load would grow
+with the fleet; with one fixed router the calls would end when it dies.
+
+Each router computes the same few routers from the membership: those with the lowest
+hash of duty and name. When one of them dies, the next in order replaces it as soon as
+the membership shows it. Routers with different views of the membership may both act or
+miss a change until their views converge, which takes seconds. Every other router
+therefore checks at the interval of :func:`check_seconds`, so that no change is missed
+permanently.
 """
 
 from __future__ import annotations
@@ -20,27 +21,27 @@
 from celeryspan import ids
 
 WATCHERS = 3
-"""One watch would do; three still hear a change when one is paused and one is cut off
-from the store. Their waiting watches of 30 s cost a tenth of a call a second."""
+"""Watchers per duty. Three still see a change if one is paused and another has lost the
+store; with a wait of 30 s they cost a tenth of a call per second."""
 
-FLEET_READS = 4.0
-"""Reads a second that all routers together make beside the watches, whatever their
-number: 1 in 500 of what the store takes."""
+FLEET_READS_PER_SECOND = 4.0
+"""Reads per second by the whole fleet in addition to the watches, at any fleet size:
+1 in 500 of the store's capacity."""
 
 CHECK_SECONDS_MIN = 10.0
-"""Least time between two reads of one router, for small fleets."""
+"""Minimum time between two reads of one router, in small fleets."""
 
 
 def choose(
     duty: str, routers: Iterable[ids.RouterId], count: int = WATCHERS
 ) -> tuple[ids.RouterId, ...]:
-    """Return the routers that carry out a duty, by rendezvous hashing."""
+    """Return the routers that perform a duty, by rendezvous hashing."""
     return tuple(sorted(routers, key=lambda name: _hash(duty, name)))[:count]
 
 
 def check_seconds(routers: int) -> float:
-    """Return the mean time between two reads of a router that does not watch."""
-    return max(CHECK_SECONDS_MIN, routers / FLEET_READS)
+    """Return the mean time between two reads of a router that is not a watcher."""
+    return max(CHECK_SECONDS_MIN, routers / FLEET_READS_PER_SECOND)
 
 
 def _hash(duty: str, name: str) -> int:
--- a/celeryspan/gateway/directory.py
+++ b/celeryspan/gateway/directory.py
@@ -127,8 +127,8 @@
         now = time.monotonic()
         known = self._membership.list_beliefs()
         if self.is_ready():
-            known.append(beliefs.Belief(self._membership.own(), 0.0))
-        found = callerlists.choose(known, data_centre, now, self._random)
+            known.append(beliefs.MemberRecord(self._membership.own(), 0.0))
+        found = callerlists.choose_addresses(known, data_centre, now, self._random)
         return [str(address) for address in found]
 
     def render_metrics(self) -> bytes:
--- a/celeryspan/gateway/followers.py
+++ b/celeryspan/gateway/followers.py
@@ -76,7 +76,7 @@
     ) -> None:
         self.kind = kind
         self._random = random.Random(f"{kind}{time.time_ns()}")
-        patience = self._random.uniform(*relays.PATIENCE_SECONDS)
+        patience = self._random.uniform(*relays.STARTUP_DELAY_SECONDS)
         self.relays = relays.Relays(router, time.monotonic(), patience)
         self.log = storelog.StoreLog(depth)
         self._client = client
@@ -122,12 +122,12 @@
         """Take in what another router tells; returns whether changes are missing."""
         now = time.monotonic()
         with self._lock:
-            self.relays.note_word(source, age, now, is_away=is_away)
+            self.relays.record_report(source, age, now, is_away=is_away)
             if self._failures == 0 and not self.relays.duties.is_reader:
                 self._note_store()
             is_taken = self._take(batch)
         self._publish()
-        return not is_taken and self.log.is_behind(batch)
+        return not is_taken and self.log.has_gap_before(batch)
 
     def _note_store(self) -> None:
         """Tell the reader what the sources say of the store."""
@@ -139,7 +139,7 @@
     def _take(self, batch: storelog.Batch) -> bool:
         """Take in a batch from wherever it comes; returns whether it says more."""
         with self._lock:
-            if not self.log.take(batch):
+            if not self.log.apply(batch):
                 return False
             if batch.is_whole:
                 listed = tuple(change.object for change in batch.changes)
@@ -192,7 +192,7 @@
         self._take(batch)
         self._publish()
         if batch.changes:
-            self._stopped.wait(self.relays.gather_seconds())
+            self._stopped.wait(self.relays.coalesce_seconds())
 
     def _note_answer(self) -> None:
         if self._failures >= AWAY_FAILURES:
--- a/celeryspan/gateway/quarantinestore.py
+++ b/celeryspan/gateway/quarantinestore.py
@@ -133,7 +133,7 @@
 
     def _find_turn(self) -> int:
         members = [member.router for member in self._membership.alive()]
-        return turns.find_turn(self._identity.router, members, DUTY)
+        return turns.find_position(self._identity.router, members, DUTY)
 
     def _read(self) -> None:
         """Take in what the store holds; an old answer costs a tenth of a fresh one."""
--- a/celeryspan/gateway/relays.py
+++ b/celeryspan/gateway/relays.py
@@ -123,8 +123,9 @@
                 if listened != kind:
                     continue
                 fresher = answered_at - listener.answered_at
-                if fresher >= relays.FRESHER_SECONDS or follower.log.has_news(
-                    listener.above
+                if (
+                    fresher >= relays.FRESHNESS_STEP_SECONDS
+                    or follower.log.has_changes_since(listener.above)
                 ):
                     self._tell(router, kind, listener, now)
 
@@ -133,7 +134,7 @@
     ) -> None:
         """Send what a listener lacks, or a word of life; the caller holds the lock."""
         follower = self._followers[kind]
-        batch = follower.log.since(listener.above)
+        batch = follower.log.batch_since(listener.above)
         if batch is None:
             return
         listener.above, listener.told_at = batch.at, now
@@ -155,7 +156,7 @@
         if request.kind not in self._followers:
             return
         now = time.monotonic()
-        listener = _Listener(request.above, now + relays.SERVED_SECONDS)
+        listener = _Listener(request.above, now + relays.SUBSCRIPTION_SECONDS)
         with self._lock:
             self._listeners[peer, request.kind] = listener
             self._tell(peer, request.kind, listener, now)
@@ -193,7 +194,7 @@
             self._is_changed = False
             self._divide(now)
         for follower in self._followers.values():
-            follower.relays.forget(now)
+            follower.relays.expire_reports(now)
             self._ask_again(follower, now)
         self._tell_again(now)
 
@@ -232,7 +233,7 @@
     def _ask_again(self, follower: followers.Follower, now: float) -> None:
         for source in follower.relays.duties.sources:
             asked_at = self._asked_at.get((source, follower.kind), float("-inf"))
-            if follower.relays.must_ask(source, asked_at, now):
+            if follower.relays.must_subscribe(source, asked_at, now):
                 self._ask(source, follower, now)
 
     def _tell_again(self, now: float) -> None:
@@ -241,7 +242,7 @@
             for key, listener in list(self._listeners.items()):
                 if listener.until < now:
                     del self._listeners[key]
-                elif now - listener.told_at >= relays.TELL_SECONDS:
+                elif now - listener.told_at >= relays.KEEPALIVE_SECONDS:
                     self._tell(*key, listener, now)
 
 
--- a/celeryspan/services/configuration.py
+++ b/celeryspan/services/configuration.py
@@ -100,13 +100,13 @@
         """
         generation = ids.Generation(value.generation)
         with self._lock:
-            verdict = self._generations.judge(generation)
+            verdict = self._generations.evaluate(generation)
             if self._generations.apply(generation):
                 self._current, self._body = value, body
             handlers = list(self._handlers)
-        if verdict is generations.Verdict.OLD:
+        if verdict is generations.OfferResult.OLD:
             events.log(events.Event.CONFIGURATION_OLD_IGNORED, generation=generation)
-        if verdict is not generations.Verdict.APPLY:
+        if verdict is not generations.OfferResult.APPLY:
             return False
         self._put_in_force(value, handlers)
         return True
@@ -207,11 +207,11 @@
         self._version = max(self._version, found[1])
 
     def _take_index(self, index: documents.Index) -> None:
-        verdict = self._generations.judge(index.generation)
-        if verdict is generations.Verdict.APPLY:
+        verdict = self._generations.evaluate(index.generation)
+        if verdict is generations.OfferResult.APPLY:
             body = self._read_chunks(index)
             self.offer(documents.unpack(body), body)
-        elif verdict is generations.Verdict.OLD:
+        elif verdict is generations.OfferResult.OLD:
             events.log(
                 events.Event.CONFIGURATION_OLD_IGNORED, generation=index.generation
             )
--- a/celeryspan/services/leasing.py
+++ b/celeryspan/services/leasing.py
@@ -38,40 +38,42 @@
 
     def step(self, *, wanted: bool) -> None:
         """Make the next call of the store, if one is due."""
-        call = self.lease.choose(time.monotonic(), secrets.token_hex(8), wanted=wanted)
+        call = self.lease.next_call(
+            time.monotonic(), secrets.token_hex(8), wanted=wanted
+        )
         try:
             self._make(call)
         except errors.Conflict:
-            self.lease.take_conflict()
+            self.lease.record_conflict()
         except errors.InputError as error:
             events.log(events.Event.TASK_FAILED, task=self._duty, error=str(error))
         except errors.StoreNotAsked:
-            self.lease.take_not_sent()
+            self.lease.record_not_sent()
         except errors.StoreError:
             pass  # The service ``store`` logs it; a write is read back before another.
         self._note_change()
 
     def _make(self, call: leases.Call) -> None:
         key = PREFIX + self._duty
-        match call.step:
-            case leases.Step.READ:
+        match call.operation:
+            case leases.Operation.READ:
                 self._read(key)
-            case leases.Step.CREATE:
+            case leases.Operation.CREATE:
                 version = self._store.create(key, call.record.encode())
-                self.lease.take_written(version)
-            case leases.Step.UPDATE:
+                self.lease.record_written(version)
+            case leases.Operation.UPDATE:
                 value = call.record.encode()
                 version = self._store.update(key, value, call.version)
-                self.lease.take_written(version)
+                self.lease.record_written(version)
 
     def _read(self, key: str) -> None:
         try:
             value, version = self._store.get(key)
         except errors.NotFound:
-            self.lease.take_read(None, 0, time.monotonic())
+            self.lease.record_read(None, 0, time.monotonic())
             return
         record = leases.Record.decode(value)
-        self.lease.take_read(record, version, time.monotonic())
+        self.lease.record_read(record, version, time.monotonic())
 
     def _note_change(self) -> None:
         holds = self.holds()
--- a/celeryspan/services/membership.py
+++ b/celeryspan/services/membership.py
@@ -83,23 +83,23 @@
         with self._lock:
             if router == self._identity.router:
                 return self._decision.own
-            belief = self._decision.beliefs.find(router)
+            belief = self._decision.members.find(router)
             return belief.member if belief is not None else None
 
     def members(self) -> list[messages.Member]:
         """Return all beliefs, also about routers that are leaving or dead."""
         with self._lock:
-            return self._decision.statements()
+            return self._decision.list_members()
 
     def own(self) -> messages.Member:
         """Return what this router says of itself."""
         with self._lock:
             return self._decision.own
 
-    def list_beliefs(self) -> list[beliefs.Belief]:
+    def list_beliefs(self) -> list[beliefs.MemberRecord]:
         """Return what is believed about all other routers, and since when."""
         with self._lock:
-            return self._decision.beliefs.list_all()
+            return self._decision.members.list_all()
 
     def subscribe(self, handler: Handler) -> None:
         """Call a handler with the routers that take part whenever they change.
@@ -204,7 +204,7 @@
         self, peer: ids.RouterId, _: ids.Incarnation, message: messages.Member
     ) -> None:
         with self._lock:
-            actions = self._decision.learn(
+            actions = self._decision.handle_statement(
                 message, time.monotonic(), peer, spread=False
             )
             self._refresh()
--- a/tests/decisions/test_callerlists.py
+++ b/tests/decisions/test_callerlists.py
@@ -16,18 +16,18 @@
     state: states.MemberState = ALIVE,
     generation: int = 0,
     since: float = 0.0,
-) -> beliefs.Belief:
+) -> beliefs.MemberRecord:
     address = ids.Address("10.0.0.1", number)
     place = "hala-a" if number % 2 else "hala-b"
     member = messages.Member(
         f"edge-{number}", 1, state, place, address, address, generation, 0
     )
-    return beliefs.Belief(member, since)
+    return beliefs.MemberRecord(member, since)
 
 
-def choose(known: list[beliefs.Belief], now: float = 10.0) -> list[int]:
+def choose(known: list[beliefs.MemberRecord], now: float = 10.0) -> list[int]:
     """Return the ports of the addresses that a caller in hala-a is told."""
-    found = callerlists.choose(known, "hala-a", now, random.Random(1))
+    found = callerlists.choose_addresses(known, "hala-a", now, random.Random(1))
     return [address.port for address in found]
 
 
--- a/tests/decisions/test_generations.py
+++ b/tests/decisions/test_generations.py
@@ -77,9 +77,9 @@
 
 def test_verdicts() -> None:
     router = generations.Generations()
-    assert router.judge(generations.NONE) is generations.Verdict.SAME
-    assert router.judge(3) is generations.Verdict.APPLY
+    assert router.evaluate(generations.NONE) is generations.OfferResult.SAME
+    assert router.evaluate(3) is generations.OfferResult.APPLY
     assert router.apply(3)
     assert router.serves
-    assert router.judge(2) is generations.Verdict.OLD
+    assert router.evaluate(2) is generations.OfferResult.OLD
     assert not router.apply(2)
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -51,11 +51,11 @@
         """Let a call arrive; versions are places in the history."""
         call, version = flight.call, len(self.values) - 1
         flight.arrived = True
-        if call.step is leases.Step.READ:
+        if call.operation is leases.Operation.READ:
             version = max(0, version - stale)
             flight.found = (self.values[version], version)
             return
-        expected = 0 if call.step is leases.Step.CREATE else call.version
+        expected = 0 if call.operation is leases.Operation.CREATE else call.version
         flight.refused = expected != version
         if not flight.refused:
             self.values.append(call.record)
@@ -90,8 +90,10 @@
     def send(self, number: int) -> None:
         """Send the next call; one without an answer may still arrive later."""
         self.give_up_flight(number)
-        call = self.leases[number].choose(self.clock(number), self.name(), wanted=True)
-        if call.step is not leases.Step.NONE:
+        call = self.leases[number].next_call(
+            self.clock(number), self.name(), wanted=True
+        )
+        if call.operation is not leases.Operation.NONE:
             self.flights[number] = Flight(call)
 
     def arrive(self, number: int, stale: bool) -> None:
@@ -106,11 +108,11 @@
         self.flights[number] = None
         lease = self.leases[number]
         if flight.refused:
-            lease.take_conflict()
-        elif flight.call.step is leases.Step.READ:
-            lease.take_read(*flight.found, self.clock(number))
+            lease.record_conflict()
+        elif flight.call.operation is leases.Operation.READ:
+            lease.record_read(*flight.found, self.clock(number))
         else:
-            lease.take_written(flight.found[1])
+            lease.record_written(flight.found[1])
 
     def make_whole_call(self, number: int) -> None:
         self.send(number)
@@ -160,11 +162,11 @@
 
 def take(lease: leases.Lease, now: float) -> None:
     """Let a router read an empty store and create the lease."""
-    assert lease.choose(now, "w0", wanted=True).step is leases.Step.READ
-    lease.take_read(None, 0, now)
+    assert lease.next_call(now, "w0", wanted=True).operation is leases.Operation.READ
+    lease.record_read(None, 0, now)
     now += leases.RENEW_SECONDS
-    assert lease.choose(now, "w1", wanted=True).step is leases.Step.CREATE
-    lease.take_written(1)
+    assert lease.next_call(now, "w1", wanted=True).operation is leases.Operation.CREATE
+    lease.record_written(1)
 
 
 def test_holder_paused_past_its_lease_stops_before_another_may_begin() -> None:
@@ -177,15 +179,18 @@
     take(first, 0.0)
     sent_at = leases.RENEW_SECONDS
     record = leases.Record("first", 1, "w1")
-    second.choose(sent_at, "x", wanted=True)
-    second.take_read(record, 1, sent_at + 0.01)
-    free_at = sent_at + 0.01 + leases.LEASE_SECONDS + leases.MARGIN_SECONDS
-    assert second.choose(free_at - 0.1, "x1", wanted=True).step is leases.Step.READ
-    assert not first.holds(free_at - leases.MARGIN_SECONDS)
-    taken = second.choose(free_at + leases.RENEW_SECONDS, "x2", wanted=True)
-    assert taken.step is leases.Step.UPDATE
+    second.next_call(sent_at, "x", wanted=True)
+    second.record_read(record, 1, sent_at + 0.01)
+    free_at = sent_at + 0.01 + leases.LEASE_SECONDS + leases.CLOCK_MARGIN_SECONDS
+    assert (
+        second.next_call(free_at - 0.1, "x1", wanted=True).operation
+        is leases.Operation.READ
+    )
+    assert not first.holds(free_at - leases.CLOCK_MARGIN_SECONDS)
+    taken = second.next_call(free_at + leases.RENEW_SECONDS, "x2", wanted=True)
+    assert taken.operation is leases.Operation.UPDATE
     assert taken.record.fence == 2
-    second.take_written(2)
+    second.record_written(2)
     assert not first.may_order(free_at + 6, checks_fence=True)
 
 
@@ -203,11 +208,11 @@
 
 def test_lost_answer_of_a_write_that_took_effect_is_read_back() -> None:
     lease = leases.Lease("first")
-    lease.choose(0.0, "w0", wanted=True)
-    lease.take_read(None, 0, 0.0)
-    call = lease.choose(5.0, "w1", wanted=True)
+    lease.next_call(0.0, "w0", wanted=True)
+    lease.record_read(None, 0, 0.0)
+    call = lease.next_call(5.0, "w1", wanted=True)
     assert not lease.holds(5.1)
-    assert lease.choose(10.0, "w2", wanted=True).step is leases.Step.READ
-    lease.take_read(call.record, 1, 10.1)
+    assert lease.next_call(10.0, "w2", wanted=True).operation is leases.Operation.READ
+    lease.record_read(call.record, 1, 10.1)
     assert lease.holds(10.2)
     assert not lease.holds(5.0 + leases.LEASE_SECONDS)
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -160,7 +160,7 @@
         fleet._carry_out(names[7], router, router.decision.set_busy(is_busy))
         fleet.run(3.0)
         for name in names[:7] + names[8:]:
-            belief = fleet.routers[name].decision.beliefs.find(names[7])
+            belief = fleet.routers[name].decision.members.find(names[7])
             assert belief.member.is_busy is is_busy
 
 
@@ -174,7 +174,7 @@
     old = fleet.routers["router-0001"]
     later = virtual.make_member(9, 2)
     later = msgspec.structs.replace(later, router="router-0001")
-    actions = old.decision.learn(later, 1.0, "router-0002")
+    actions = old.decision.handle_statement(later, 1.0, "router-0002")
     assert actions == []
     assert old.decision.own.state is states.MemberState.LEAVING
 
--- a/tests/decisions/test_outages.py
+++ b/tests/decisions/test_outages.py
@@ -62,4 +62,4 @@
     assert chosen == watchers.choose("configuration", reversed(routers))
     left = [router for router in routers if router != chosen[0]]
     assert watchers.choose("configuration", left)[:2] == chosen[1:]
-    assert 1_300 / watchers.check_seconds(1_300) <= watchers.FLEET_READS
+    assert 1_300 / watchers.check_seconds(1_300) <= watchers.FLEET_READS_PER_SECOND
--- a/tests/decisions/test_relays.py
+++ b/tests/decisions/test_relays.py
@@ -102,7 +102,7 @@
 
 def test_word_of_one_source_is_enough() -> None:
     found = make(find_leaf())
-    found.note_word(found.duties.sources[0], 1.0, 10.0, is_away=False)
+    found.record_report(found.duties.sources[0], 1.0, 10.0, is_away=False)
     assert not found.must_read(10.5)
     assert not found.is_away()
 
@@ -113,12 +113,12 @@
     A router that waits for their word would send to the server for good.
     """
     for router, limit in (
-        (find_relay(), relays.FRESH_SECONDS),
+        (find_relay(), relays.FRESH_SECONDS_RELAYS),
         (find_leaf(), relays.FRESH_SECONDS_OTHERS),
     ):
         found = make(router)
         for source in found.duties.sources:
-            found.note_word(source, 0.2, 10.0, is_away=False)
+            found.record_report(source, 0.2, 10.0, is_away=False)
         assert not found.must_read(11.0)
         assert found.must_read(10.0 + limit)
 
@@ -130,8 +130,8 @@
     """
     relay, leaf = make(find_relay()), make(find_leaf())
     for found in (relay, leaf):
-        found.note_word("reader", 0.0, 10.0, is_away=False)
-    moment = 10.0 + relays.FRESH_SECONDS + 0.1
+        found.record_report("reader", 0.0, 10.0, is_away=False)
+    moment = 10.0 + relays.FRESH_SECONDS_RELAYS + 0.1
     assert relay.must_read(moment)
     assert not leaf.must_read(moment)
 
@@ -141,10 +141,10 @@
     found = make(find_leaf())
     for tick in range(40):
         now = 10.0 + tick * 0.1
-        found.note_word(found.duties.sources[0], now - 10.0, now, is_away=True)
+        found.record_report(found.duties.sources[0], now - 10.0, now, is_away=True)
     assert found.must_read(now)
     assert found.is_away()
-    found.note_word(found.duties.sources[1], 0.1, now, is_away=False)
+    found.record_report(found.duties.sources[1], 0.1, now, is_away=False)
     assert not found.must_read(now)
     assert not found.is_away()
 
@@ -152,11 +152,11 @@
 def test_routers_that_hear_each_other_do_not_keep_old_news_fresh() -> None:
     """Two readers tell each other while the store is gone."""
     first, second = make(find_leaf()), make(find_leaf())
-    first.note_word("edge-x", 0.0, 0.0, is_away=False)
+    first.record_report("edge-x", 0.0, 0.0, is_away=False)
     for tick in range(60):
         now = tick * 0.1
-        second.note_word("first", now - first.read_at(), now, is_away=False)
-        first.note_word("second", now - second.read_at(), now, is_away=False)
+        second.record_report("first", now - first.read_at(), now, is_away=False)
+        first.record_report("second", now - second.read_at(), now, is_away=False)
     assert first.must_read(now)
 
 
@@ -167,15 +167,19 @@
     """
     found = make(find_leaf())
     source = found.duties.sources[0]
-    assert found.must_ask(source, 10.0 - relays.ASK_SECONDS_SILENT, 10.0)
-    found.note_word(source, 0.1, 10.0, is_away=False)
-    assert not found.must_ask(source, 9.0, 10.0 + relays.ASK_SECONDS_SILENT)
-    assert found.must_ask(source, 9.0, 9.0 + relays.ASK_SECONDS)
-    assert found.must_ask(source, 10.0, 10.1 + relays.FRESH_SECONDS)
+    assert found.must_subscribe(
+        source, 10.0 - relays.SUBSCRIBE_PERIOD_SILENT_SECONDS, 10.0
+    )
+    found.record_report(source, 0.1, 10.0, is_away=False)
+    assert not found.must_subscribe(
+        source, 9.0, 10.0 + relays.SUBSCRIBE_PERIOD_SILENT_SECONDS
+    )
+    assert found.must_subscribe(source, 9.0, 9.0 + relays.SUBSCRIBE_PERIOD_SECONDS)
+    assert found.must_subscribe(source, 10.0, 10.1 + relays.FRESH_SECONDS_RELAYS)
 
 
 def test_old_words_are_forgotten() -> None:
     found = make(find_leaf())
-    found.note_word("gone", 0.0, 0.0, is_away=True)
-    found.forget(relays.FORGET_SECONDS + 0.1)
+    found.record_report("gone", 0.0, 0.0, is_away=True)
+    found.expire_reports(relays.REPORT_EXPIRY_SECONDS + 0.1)
     assert not found.is_away()
--- a/tests/decisions/test_storelog.py
+++ b/tests/decisions/test_storelog.py
@@ -23,7 +23,7 @@
 
 
 def test_nothing_is_told_before_a_list() -> None:
-    assert storelog.StoreLog().since(0) is None
+    assert storelog.StoreLog().batch_since(0) is None
 
 
 def test_quiet_kind_is_not_told_again() -> None:
@@ -32,29 +32,29 @@
     Each word about the configuration would carry all of it.
     """
     log = storelog.StoreLog(depth=0)
-    log.take(make_whole(5, make_change("main", 4)))
-    log.take(storelog.Batch(5, 90, ()))
-    assert log.since(5) == storelog.Batch(5, 90, ())
-    assert log.since(3).is_whole
+    log.apply(make_whole(5, make_change("main", 4)))
+    log.apply(storelog.Batch(5, 90, ()))
+    assert log.batch_since(5) == storelog.Batch(5, 90, ())
+    assert log.batch_since(3).is_whole
 
 
 def test_gap_is_seen_and_not_taken() -> None:
     """One message between two routers is lost; it said that a server is gone."""
     log = storelog.StoreLog()
-    log.take(make_whole(5, make_change("s1", 4)))
+    log.apply(make_whole(5, make_change("s1", 4)))
     late = storelog.Batch(7, 9, (make_change("s2", 9),))
-    assert not log.take(late)
-    assert log.is_behind(late)
+    assert not log.apply(late)
+    assert log.has_gap_before(late)
     assert log.at == 5
 
 
 def test_batch_from_before_is_ignored() -> None:
     """The slower of two sources tells of a deletion after the server came back."""
     log = storelog.StoreLog()
-    log.take(make_whole(5, make_change("s1", 4)))
-    log.take(storelog.Batch(5, 9, (make_change("s1", 8, True), make_change("s1", 9))))
-    assert not log.take(storelog.Batch(5, 8, (make_change("s1", 8, True),)))
-    assert [change.object.name for change in log.since(0).changes] == ["s1"]
+    log.apply(make_whole(5, make_change("s1", 4)))
+    log.apply(storelog.Batch(5, 9, (make_change("s1", 8, True), make_change("s1", 9))))
+    assert not log.apply(storelog.Batch(5, 8, (make_change("s1", 8, True),)))
+    assert [change.object.name for change in log.batch_since(0).changes] == ["s1"]
 
 
 class Passing(stateful.RuleBasedStateMachine):
@@ -90,17 +90,17 @@
             found = tuple(
                 storedobjects.Change(each, False) for each in self.objects.values()
             )
-            source.take(storelog.Batch(0, self.revision, found, is_whole=True))
+            source.apply(storelog.Batch(0, self.revision, found, is_whole=True))
             return
         new = tuple(change for at, change in self.history if at > source.at)
-        source.take(storelog.Batch(source.at, self.revision, new))
+        source.apply(storelog.Batch(source.at, self.revision, new))
 
     @stateful.rule(which=strategies.integers(0, 1), back=strategies.integers(0, 6))
     def tell(self, which: int, back: int) -> None:
         """Tell from where the listener was some time ago, or may be."""
-        batch = self.sources[which].since(max(0, (self.listener.at or 0) - back))
+        batch = self.sources[which].batch_since(max(0, (self.listener.at or 0) - back))
         if batch is not None:
-            self.listener.take(batch)
+            self.listener.apply(batch)
 
     @stateful.invariant()
     def holds_the_state_of_its_revision(self) -> None:
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -15,7 +15,7 @@
 FAST = {
     "LEASE_SECONDS": 1.0,
     "RENEW_SECONDS": 0.2,
-    "MARGIN_SECONDS": 0.2,
+    "CLOCK_MARGIN_SECONDS": 0.2,
     "ORDER_SECONDS": 0.1,
 }
 
