--- a/celeryspan/decisions/callerlists.py
+++ b/celeryspan/decisions/callerlists.py
@@ -1,13 +1,13 @@
-"""Which routers callers are told to use.
+"""Lists of router addresses for callers.
 
-Load answered: hundreds of callers that keep an answer for seconds, and longer if they
-can't get a new one. A list that leaves out most routers sends all callers near the one
-that wrote it to a few of them; these drown, can no longer answer who else there is, and
-the callers stay. One router of 82 got two thirds of all requests that way.
+Hundreds of callers keep a list for seconds, and longer if they cannot get a new one. A
+list that omits most routers sends all callers near its author to a few routers; these
+become overloaded, cannot answer requests for a new list, and keep their callers. In one
+case a router of 82 received two thirds of all requests.
 
-A router is listed once it has shown a configuration, or has run for a while: routers
-hear each other's configuration only now and then, and one that has none yet refuses,
-which costs its caller a moment.
+A router is listed once it has announced a configuration or has run for a short time.
+Routers learn each other's configuration only now and then, and one without any refuses
+requests, which delays its caller only briefly.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from celeryspan.decisions import beliefs
 
 ADDRESSES_MAX = 64
-"""Addresses of one answer. All are given: callers that are told a few draw from these
-as evenly, but have fewer left when half of the fleet is killed; accounts that send all
-they have to one router go to the same one whatever they are told."""
+"""Maximum addresses per list. A list of only a few would spread callers as evenly but
+leave them fewer routers when half of the fleet is killed. The length makes no
+difference for accounts that send all their requests to one router."""
 
 STARTED_SECONDS = 2.0
-"""A router that has run this long has a configuration, from the store or from a peer:
-both take some tenths of a second."""
+"""Time after which a router is expected to have a configuration; the store and peers
+deliver one within some tenths of a second."""
 
 
 def choose_addresses(
@@ -34,24 +34,24 @@
     now: float,
     generator: random.Random,
 ) -> list[ids.Address]:
-    """Return the addresses of the routers to use, nearest first.
+    """Return the addresses of usable routers, those in the caller's data centre first.
 
     Parameters
     ----------
-    known : iterable of Belief
-        What is believed of all routers, the one that answers among them if it is ready.
+    known : iterable of MemberRecord
+        Records of all routers, including the answering one if it is ready.
     data_centre : str or None
-        That of the caller, if it has said so.
+        Data centre of the caller, if known.
     """
-    found = [belief.member for belief in known if is_usable(belief, now)]
+    found = [record.member for record in known if is_usable(record, now)]
     generator.shuffle(found)
     found.sort(key=lambda member: member.data_centre != data_centre)
     return [member.caller_address for member in found[:ADDRESSES_MAX]]
 
 
-def is_usable(belief: beliefs.MemberRecord, now: float) -> bool:
+def is_usable(record: beliefs.MemberRecord, now: float) -> bool:
     """Whether callers may use a router."""
-    member = belief.member
+    member = record.member
     if member.state is not states.MemberState.ALIVE:
         return False
-    return member.generation > 0 or now - belief.since >= STARTED_SECONDS
+    return member.generation > 0 or now - record.since >= STARTED_SECONDS
--- a/celeryspan/decisions/fallback.py
+++ b/celeryspan/decisions/fallback.py
@@ -1,13 +1,12 @@
-"""How much of a backend server's window one part of a split fleet may use.
+"""Share of a backend server's window for one part of a partitioned fleet.
 
-Load pattern: a partition cuts the fleet in parts that each find a home for every
-server, so that each server has several homes at once for minutes.
+During a network partition each part of the fleet selects a home for every server, so
+that each server has several homes for minutes. If every part used the whole window, a
+server would get twice its load; if the smaller parts stopped, their callers would get
+nothing.
 
-Without it every part would use the whole window, and a server would get twice its
-load; or, were the smaller parts to stop, their callers would starve.
-
-A part may use the window in proportion to the routers that it sees. What the server
-itself reports corrects this: capacity that the other parts leave unused is taken.
+Each part may use the window in proportion to the routers that it sees. The server's own
+load report corrects this: capacity that the other parts leave unused is available.
 """
 
 from __future__ import annotations
@@ -18,22 +17,22 @@
 def share_window(
     window: int, visible: int, fleet: int, others_running: float | None
 ) -> int:
-    """Return how many slots of a server this part of the fleet may use.
+    """Return the number of slots of a server that this part of the fleet may use.
 
     Parameters
     ----------
     window : int
         Slots of the whole server.
     visible, fleet : int
-        Routers that this one sees alive (itself included), and routers in all.
+        Routers that this one sees alive, including itself, and routers in total.
     others_running : float or None
-        Requests that the server reports as running beyond those of this part; None
-        if there is no report.
+        Requests of other parts that run on the server according to its report; None
+        without a report.
 
     Returns
     -------
     int
-        At least 1, so that a router alone still serves its callers.
+        At least 1, so that an isolated router still serves its callers.
     """
     if visible >= fleet:
         return window
--- a/celeryspan/decisions/generations.py
+++ b/celeryspan/decisions/generations.py
@@ -1,13 +1,13 @@
-"""Which configuration a router applies: a higher generation, and nothing else.
+"""Configuration generations: a router applies only a higher one.
 
-Failure answered: an old peer, a restarted router, a healed partition or a store that
-answers with old data offers a configuration that has been replaced. Without this
-module the weights of client accounts would jump back, and a retired backend server
-would get work again, until the next change.
+An outdated peer, a restarted router, a healed partition or a stale read of the store
+can offer a configuration that has been replaced. Applying it would revert the weights
+of client accounts and send work to a retired backend server until the next change.
 
-A generation is one number, written by conditional update, so that two operators can't
-both write the same one; comparing numbers is all that is needed for a total order. A
-router that has none serves nothing: it can't prove a key or know a backend server.
+A generation is a single number, written by conditional update so that two operators
+cannot write the same one, and numeric order is therefore a total order. A router
+without a configuration serves nothing, because it cannot verify keys and knows no
+backend servers.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from celeryspan import ids
 
 NONE = ids.Generation(0)
-"""No configuration at all; the first one written has generation 1."""
+"""No configuration; the first one written has generation 1."""
 
 
 class OfferResult(enum.Enum):
-    """What to do with an offered generation."""
+    """How an offered generation compares with the current one."""
 
     APPLY = "apply"
     SAME = "same"
@@ -31,29 +31,29 @@
 
 
 class Generations(msgspec.Struct):
-    """The generation in force on one router.
+    """The generation that one router applies.
 
     Attributes
     ----------
     current : Generation
-        In force; only ever grows.
+        Never decreases.
     """
 
     current: ids.Generation = NONE
 
     @property
     def serves(self) -> bool:
-        """Whether there is any configuration to serve by."""
+        """Whether a configuration has been applied."""
         return self.current > NONE
 
     def evaluate(self, offered: ids.Generation) -> OfferResult:
-        """Judge an offer from the store or from a peer."""
+        """Compare an offer from the store or a peer with the current generation."""
         if offered > self.current:
             return OfferResult.APPLY
         return OfferResult.SAME if offered == self.current else OfferResult.OLD
 
     def apply(self, offered: ids.Generation) -> bool:
-        """Put a generation in force if it is higher; returns whether it is now."""
+        """Apply a generation if it is higher; returns whether it was applied."""
         if self.evaluate(offered) is not OfferResult.APPLY:
             return False
         self.current = offered
--- a/celeryspan/decisions/leases.py
+++ b/celeryspan/decisions/leases.py
@@ -1,26 +1,23 @@
-"""Who holds a duty: one router at a time, by conditional updates and no clock shared.
-
-Failure answered: two routers order model engines about at the same time, because one
-was paused, cut off or told nothing, and the other took its place. Without this module
-an engine is loaded with one model by each in turn, and the weight store's rate limit
-is passed twice over.
-
-The lease is one object: holder, fencing number, name of the last write. The holder
-renews it; its right counts from the moment *before* it sent the renewal. Another
-router counts from the moment *after* it first read that version, and takes the lease
-by an update of exactly that version once it has not changed for longer than the
-holder's right lasts. No clock is compared with another's: only their rates matter,
-and :data:`MARGIN_SECONDS` allows one to run a tenth faster than the other. Each taking
-raises the fencing number, which goes with every order.
-
-* A holder that was paused finds at its next :meth:`Lease.holds` that its time is over.
-  Between that question and the effect of an order it may still be paused; engines that
-  check the fencing number refuse the order then, and :mod:`celeryspan.services.orders`
-  says what guards those that ignore it.
-* A write whose answer was lost counts for nothing until a read has shown its name.
-* A read of old data only makes a router wait, or lose its conditional update.
-
-Grounds of the figures stand beside them.
+"""Leases: at most one router holds a duty, without synchronised clocks.
+
+Guards against two routers that control model engines at the same time because one was
+paused or partitioned and the other replaced it. Each would load its own model into an
+engine in turn, and together they would exceed the weight store's rate limit twice over.
+
+The lease is one object with the holder, a fencing number and the name of the last
+write. The holder renews it; its term starts *before* it sends the renewal. Another
+router starts its timer *after* it first reads a version, and takes the lease by a
+conditional update of that version once it has not changed for longer than the term.
+Clocks are never compared with each other. Only their rates matter, and
+:data:`CLOCK_MARGIN_SECONDS` allows one to run 10% faster than another. Each change of
+holder increments the fencing number, which is sent with every order.
+
+* A holder that was paused finds at its next :meth:`Lease.holds` that its term is over.
+  It may still be paused between that check and the effect of an order. Engines that
+  check the fencing number then refuse the order; :mod:`celeryspan.services.orders`
+  describes the protection of engines that ignore it.
+* A write whose answer was lost has no effect here until a read returns its name.
+* A stale read only makes a router wait, or fail its conditional update.
 """
 
 from __future__ import annotations
@@ -34,23 +31,23 @@
 from celeryspan import errors
 
 LEASE_SECONDS = 15.0
-"""How long a holder may act after a renewal: three renewals may fail in a row."""
+"""Term of a lease after a renewal: three renewals may fail in a row."""
 
 RENEW_SECONDS = 5.0
-"""Time between two calls of the holder and of those who wait for its place: a fifth
-of a call a second each, whatever the size of the fleet."""
+"""Time between two calls of the holder and of each candidate: 0.2 calls per second
+each, at any fleet size."""
 
 ORDER_SECONDS = 4.0
-"""Greatest time from the question whether a duty is held to the last effect of an
-order: 1 s to connect and 3 s for the answer, after which nothing more is sent."""
+"""Maximum time from the check of the lease to the last effect of an order: 1 s to
+connect and 3 s for the answer, after which nothing more is sent."""
 
 CLOCK_MARGIN_SECONDS = 3.0
-"""What others wait beyond the lease; a fifth of it covers clocks whose rates differ
-by a tenth, which no clock of a VM does for long."""
+"""Time for which other routers wait after the term: a fifth of the term covers clock
+rates that differ by 10%, which no VM clock does for long."""
 
 
 class Operation(enum.Enum):
-    """What to ask the store for next."""
+    """Kind of the next store call."""
 
     NONE = "none"
     READ = "read"
@@ -66,9 +63,9 @@
     holder : str
         Router and incarnation.
     fence : int
-        Grows with each holder.
+        Fencing number; increases with each change of holder.
     write : str
-        Name of this write, never used twice.
+        Unique name of this write.
     """
 
     holder: str
@@ -76,17 +73,17 @@
     write: str
 
     def encode(self) -> bytes:
-        """Return the value of the object."""
+        """Return the serialized value."""
         return json.dumps(msgspec.structs.asdict(self)).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Record:
-        """Read the value of the object.
+        """Parse a serialized value.
 
         Raises
         ------
         errors.InputError
-            If it is no lease.
+            If the value is not a lease.
         """
         try:
             fields = json.loads(value)
@@ -98,7 +95,7 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """One call of the store; ``version`` is what an update replaces."""
+    """One store call; an update replaces exactly ``version``."""
 
     operation: Operation
     record: Record | None = None
@@ -106,9 +103,9 @@
 
 
 class Lease:
-    """One router's view of one duty.
+    """One router's view of the lease of one duty.
 
-    Ask :meth:`choose` for the next call, make it, and report how it went.
+    Call :meth:`next_call`, perform the call and record its result.
 
     Parameters
     ----------
@@ -129,33 +126,33 @@
 
     @property
     def fence(self) -> int:
-        """The fencing number of the lease as last seen."""
+        """The fencing number of the lease as last read or written."""
         return self._record.fence if self._record is not None else 0
 
     def holds(self, now: float) -> bool:
-        """Whether this router may act now; ask again before each act."""
+        """Whether this router holds the lease now; check again before each action."""
         return now < self._valid_until
 
     def may_order(self, now: float, *, checks_fence: bool) -> bool:
-        """Whether an order may be sent now to an engine that checks fences or not.
+        """Whether an order may be sent now to an engine.
 
-        An engine that ignores the fencing number obeys an order that an earlier
-        holder sent just before its time was over. A new holder therefore waits one
-        greatest order time before its first order to such an engine.
+        An engine that ignores fencing numbers executes an order that the previous
+        holder sent just before the end of its term. A new holder therefore waits
+        ORDER_SECONDS before its first order to such an engine.
         """
         if now + ORDER_SECONDS >= self._valid_until:
             return False
         return checks_fence or now >= self._taken_at + ORDER_SECONDS
 
     def next_call(self, now: float, write: str, *, wanted: bool) -> Call:
-        """Return the next call of the store.
+        """Return the next store call.
 
         Parameters
         ----------
         write : str
-            Name for the write, if there is one; never used before.
+            Unique name for the write, if the call is one.
         wanted : bool
-            Whether this router should hold the duty if it can.
+            Whether this router should try to hold the duty.
         """
         if now < self._call_at:
             return Call(Operation.NONE)
@@ -175,9 +172,9 @@
         return Call(Operation.READ)
 
     def record_read(self, record: Record | None, version: int, now: float) -> None:
-        """Note what a read found at ``now``; None if there is no object."""
+        """Record the result of a read at ``now``; None if there is no object."""
         if version < self._version:
-            return  # Old data: what was seen before is newer.
+            return  # Stale read: a newer version is known.
         if not self._has_read or version != self._version:
             self._changed_at = now
         self._has_read = True
@@ -185,7 +182,7 @@
         self._resolve_pending()
 
     def record_written(self, version: int) -> None:
-        """Note that the write under way took effect."""
+        """Record that the pending write took effect."""
         if self._pending is None:
             return
         record, sent_at = self._pending
@@ -195,26 +192,26 @@
         self._begin_term(record, sent_at)
 
     def record_conflict(self) -> None:
-        """Note that the write lost: someone else has written."""
+        """Record that the pending write failed because of another write."""
         self._pending = None
         self._has_read = False
         self._valid_until = -math.inf
         self._call_at = -math.inf
 
     def record_not_sent(self) -> None:
-        """Note that the call was held back and certainly took no effect."""
+        """Record that the pending call was not sent and had no effect."""
         self._pending = None
 
-    def _write(self, step: Operation, record: Record, now: float) -> Call:
+    def _write(self, operation: Operation, record: Record, now: float) -> Call:
         self._pending = (record, now)
-        return Call(step, record, self._version)
+        return Call(operation, record, self._version)
 
     def _resolve_pending(self) -> None:
-        """Find out whether the write without an answer took effect.
+        """Determine from the last read whether the pending write took effect.
 
-        A write that did not may still be on its way. It is then refused for its
-        version as soon as any other write has taken effect, and harmless until then:
-        it is this router's own.
+        A write that did not may still arrive later. It is refused for its version if
+        any other write has taken effect by then, and is otherwise harmless because it
+        is this router's own.
         """
         if self._pending is None:
             return
--- a/celeryspan/decisions/relays.py
+++ b/celeryspan/decisions/relays.py
@@ -1,21 +1,22 @@
-"""Which routers read the store for the fleet, and when a router reads it itself.
+"""Selection of the routers that read the store, and the fallback to direct reads.
 
-Load answered: each watch of the store is a paid call that ends with every change, and
-each router that starts needs what the store says. 195 routers in five data centres that
-had two readers in each made 20 calls a second at rest, and 20 for each start.
+Each watch of the store is a paid call that ends with every change, and each router that
+starts needs the contents of the store. With two readers in each of five data centres,
+195 routers made 20 calls per second when idle and 20 more for each start.
 
-Two routers watch for the whole fleet: those with the lowest hash, in two data centres
-if there are several. In each data centre two routers relay what they tell to the rest
-there, so that nothing crosses between data centres more than a few times and no router
-tells hundreds. Everybody says with the news how old it is. What can go wrong with that,
-and how it shows:
+Two routers watch the store for the whole fleet: those with the lowest hash, in two data
+centres if there are several. In each data centre two relays forward their reports to
+the other routers there, so that a change crosses between data centres only a few times
+and no router sends to hundreds. Each report carries the age of its data. Failures and
+how they are detected:
 
-* A reader or relay dies, is paused or is cut off from its peers: it says nothing.
-* A reader is cut off from the store: its word grows old.
+* A reader or relay dies, pauses or loses its peers: its reports stop.
+* A reader loses the store: its reports become stale.
 
-Either way the word of another one stays fresh. Without any fresh word a router reads
-the store itself until there is one again: relays first, the others only if that does
-not help them, so that the loss of both readers makes few routers read.
+In either case the reports of the other source stay fresh. Without any fresh report a
+router reads the store itself until one arrives. Relays time out first and the other
+routers only if that does not help, so that few routers read after the loss of both
+readers.
 """
 
 from __future__ import annotations
@@ -28,70 +29,70 @@
 from celeryspan.decisions import watchers
 
 READERS = 2
-"""Routers that read the store for all: if one is paused or cut off, one is left."""
+"""Routers that read the store for the fleet, so that one may be paused or cut off."""
 
 RELAYS = 2
-"""Routers of a data centre that hear the readers, for the same reason."""
+"""Routers per data centre that subscribe to the readers, for the same reason."""
 
 WATCH_SECONDS = 1.0
-"""How long a watch waits. A connection that has gone silent is found this much later
-and a little more; a leaving server must be known within two seconds."""
+"""Wait of a watch. A dead connection is detected slightly later than this; a leaving
+server must be known within two seconds."""
 
 READER_COALESCE_SECONDS = 0.1
-"""How long a reader lets changes gather before it watches again: a watch ends with the
-first change, and 100 servers that start within seconds would end one for each. Added
-to the time in which a leaving server must be known, two seconds, it is a twentieth."""
+"""Time for which a reader coalesces changes before the next watch: a watch ends with
+its first change, and 100 servers that start within seconds would each end one. It takes
+a twentieth of the two seconds within which a leaving server must be known."""
 
 COALESCE_SECONDS = 0.5
-"""The same for a router that reads only until it hears others."""
+"""The same for a router that reads only until it receives reports."""
 
 KEEPALIVE_SECONDS = 0.8
-"""Time after which somebody who was told nothing is told so: the word is that the store
-does not answer, since each answer is told at once."""
+"""Time without a report after which a subscriber gets one without changes. It means
+that the store does not answer, since each answer is reported at once."""
 
 FRESH_SECONDS_RELAYS = 1.8
-"""A relay takes a word for fresh this long: a watch, and eight tenths of a second for
-slow answers. Leaving servers must be known within two seconds."""
+"""Time for which a report is fresh to a relay: one watch, and 0.8 s for slow answers.
+Leaving servers must be known within two seconds."""
 
 FRESH_SECONDS_OTHERS = 2.6
-"""The same for routers that hear relays, which read meanwhile and need a moment."""
+"""The same for subscribers of relays, long enough for a relay to read the store."""
 
 FRESHNESS_STEP_SECONDS = 0.7
-"""A word without news is passed on if it is this much fresher than the last one: one
-of the two readers is enough, and each hears from the store once a second."""
+"""A report without changes is forwarded if it is at least this much fresher than the
+last one. One of the two readers is enough, and each gets an answer once per second."""
 
 SUBSCRIBE_PERIOD_SECONDS = 3.0
-"""How often a source is asked again, in case that it has forgotten the asker."""
+"""Period of renewed subscriptions, in case the source has lost the subscription."""
 
 SUBSCRIBE_PERIOD_SILENT_SECONDS = 1.0
-"""The same while it says nothing."""
+"""The same while the source is silent."""
 
 SUBSCRIPTION_SECONDS = 10.0
-"""How long a router that has asked is told news: three lost questions."""
+"""Duration of a subscription; it survives three lost renewals."""
 
 REPORT_EXPIRY_SECONDS = 10.0
-"""A word this old tells nothing about the router that gave it."""
+"""Reports older than this are dropped, as they no longer describe their source."""
 
 SETTLE_SECONDS = 1.0
-"""How long a router that knows no other one waits before it takes itself for a reader:
-at the first start of a fleet nobody knows anybody, and all would read."""
+"""Time for which a router that knows no others does not act as a reader: when a whole
+fleet starts for the first time, every router would select itself."""
 
 STARTUP_DELAY_SECONDS = (1.5, 2.5)
-"""How long a router that has just started leaves it to others to tell it. Drawn between
-the two: those that wait in vain must not come to the store together."""
+"""Range of the random time for which a new router waits for reports. Random, so that
+routers that get none do not all read the store at once."""
 
 
 class Duties(msgspec.Struct, frozen=True):
-    """Who reads the store, and whom one router hears.
+    """The readers of the store, and the role and sources of one router.
 
     Attributes
     ----------
     readers : tuple of RouterId
-        Those that read the store for the fleet.
+        Routers that read the store for the fleet.
     sources : tuple of RouterId
-        Those that this router asks for news; the other readers if it is one itself.
+        Routers that this one subscribes to; the other readers if it is one itself.
     is_reader, is_relay : bool
-        Whether this router reads for the fleet, or tells those of its data centre.
+        Whether this router reads for the fleet, or relays in its data centre.
     """
 
     readers: tuple[ids.RouterId, ...]
@@ -108,7 +109,8 @@
     Parameters
     ----------
     routers : mapping of RouterId to DataCentreId
-        Where each router is that takes part and stays, the own one among them.
+        Data centre of each router that takes part and is not leaving, including the
+        own one.
     """
     readers = choose_readers(routers)
     beside = [router for router in routers if routers[router] == routers[own]]
@@ -122,7 +124,7 @@
 def choose_readers(
     routers: Mapping[ids.RouterId, ids.DataCentreId],
 ) -> tuple[ids.RouterId, ...]:
-    """Return the readers, of as many data centres as may be."""
+    """Return the readers, spread over as many data centres as possible."""
     ordered = watchers.choose("read the store", routers, len(routers))
     seen: set[ids.DataCentreId] = set()
     first, others = [], []
@@ -133,25 +135,25 @@
 
 
 class SourceReport(msgspec.Struct, frozen=True):
-    """What another router has said of the store.
+    """The state of the store as last reported by another router.
 
     Attributes
     ----------
     read_at : float
-        When the store last answered, on this router's clock, in seconds.
+        Time of the store's last answer, on this router's clock, in seconds.
     is_away : bool
-        Whether the store answers neither it nor those that it hears.
-    heard_at : float
-        When the word came.
+        Whether the store answers neither the source nor the source's own sources.
+    received_at : float
+        Time at which the report arrived.
     """
 
     read_at: float
     is_away: bool
-    heard_at: float
+    received_at: float
 
 
 class Relays:
-    """Whom one router hears, what they said last, and whether it reads itself.
+    """Sources of one router, their last reports, and whether to read the store itself.
 
     Attributes
     ----------
@@ -161,25 +163,25 @@
     ----------
     own : RouterId
     now : float
-        When this router starts, in seconds.
-    patience : float
-        Seconds that it leaves it to others to tell it, one of PATIENCE_SECONDS.
+        Start time of this router, in seconds.
+    startup_delay : float
+        Seconds to wait for reports, within STARTUP_DELAY_SECONDS.
     """
 
-    def __init__(self, own: ids.RouterId, now: float, patience: float) -> None:
+    def __init__(self, own: ids.RouterId, now: float, startup_delay: float) -> None:
         self._reports: dict[ids.RouterId, SourceReport] = {}
         self._settled_at = now + SETTLE_SECONDS
-        self._startup_delay_until = now + patience
+        self._startup_delay_until = now + startup_delay
         self.duties = Duties((own,), (), is_reader=True, is_relay=True)
 
     def set_duties(self, duties: Duties, *, is_settled: bool = False) -> None:
-        """Set who does what.
+        """Set the duties.
 
         Parameters
         ----------
         is_settled : bool
-            Whether the store's list of routers says so, or there is nobody to meet: no
-            need to wait for others.
+            Whether the duties are based on the store's list of routers, or there are
+            no other routers: no need to wait for others.
         """
         self.duties = duties
         if is_settled:
@@ -188,40 +190,41 @@
     def record_report(
         self, source: ids.RouterId, age: float, now: float, *, is_away: bool
     ) -> None:
-        """Note what a source says; ``age`` is the age of its knowledge, in seconds."""
+        """Record a report; ``age`` is the age of its data, in seconds."""
         self._reports[source] = SourceReport(now - age, is_away, now)
 
     def expire_reports(self, now: float) -> None:
-        """Drop what was said long ago."""
+        """Drop old reports."""
         self._reports = {
-            source: word
-            for source, word in self._reports.items()
-            if now - word.read_at < REPORT_EXPIRY_SECONDS
+            source: report
+            for source, report in self._reports.items()
+            if now - report.read_at < REPORT_EXPIRY_SECONDS
         }
 
     def read_at(self) -> float:
-        """Return when a source last had an answer of the store; -inf if none had."""
-        return max((word.read_at for word in self._reports.values()), default=-1e9)
+        """Return the time of the store's last answer to any source; -1e9 if none."""
+        return max((report.read_at for report in self._reports.values()), default=-1e9)
 
     def is_fresh(self, now: float) -> bool:
-        """Whether some source knows the store's present state."""
+        """Whether some source has reported recent data of the store."""
         limit = FRESH_SECONDS_RELAYS if self.duties.is_relay else FRESH_SECONDS_OTHERS
         return now - self.read_at() <= limit
 
     def must_subscribe(self, source: ids.RouterId, asked_at: float, now: float) -> bool:
-        """Whether a source is due to be asked, after it was at a moment."""
-        word = self._reports.get(source)
-        is_silent = word is None or now - word.heard_at > FRESH_SECONDS_RELAYS
-        return now - asked_at >= (
-            SUBSCRIBE_PERIOD_SILENT_SECONDS if is_silent else SUBSCRIBE_PERIOD_SECONDS
-        )
+        """Whether to renew the subscription to a source, last sent at ``asked_at``."""
+        report = self._reports.get(source)
+        is_silent = report is None or now - report.received_at > FRESH_SECONDS_RELAYS
+        silent, normal = SUBSCRIBE_PERIOD_SILENT_SECONDS, SUBSCRIBE_PERIOD_SECONDS
+        return now - asked_at >= (silent if is_silent else normal)
 
     def is_away(self) -> bool:
-        """Whether the store answers no source that has said anything."""
-        return bool(self._reports) and all(w.is_away for w in self._reports.values())
+        """Whether there are reports and all say that the store does not answer."""
+        return bool(self._reports) and all(
+            report.is_away for report in self._reports.values()
+        )
 
     def coalesce_seconds(self) -> float:
-        """Return how long changes may gather before the store is watched again."""
+        """Return how long to coalesce changes before the next watch of the store."""
         return READER_COALESCE_SECONDS if self.duties.is_reader else COALESCE_SECONDS
 
     def must_read(self, now: float) -> bool:
--- a/celeryspan/decisions/storelog.py
+++ b/celeryspan/decisions/storelog.py
@@ -1,10 +1,10 @@
-"""The objects of one kind and their last changes, to be passed on to other routers.
+"""Objects of one kind and their recent changes, for replication to other routers.
 
-Failure answered: a router hears the store's changes from another one, and one message
-is lost or two sources overtake each other. A deleted server would stay in use, or one
-that has come back would vanish. Each batch says from which revision to which it leads:
-a receiver takes it only if it begins at or below what the receiver has and ends above,
-and else asks for what it lacks; repeating changes in their order is harmless.
+A router receives the store's changes from another router. If a message is lost or two
+sources overtake each other, a deleted server could stay in use, or one that has come
+back could disappear. Each batch therefore states the revisions that it spans. A
+receiver applies it only if it starts at or below the receiver's revision and ends above
+it, and requests the missing changes otherwise. Replaying changes in order is harmless.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from celeryspan import storedobjects
 
 BATCHES_MAX = 200
-"""Batches kept: each is one answer of a watch; those of three minutes of one change a
-second. A router that is further behind gets all objects."""
+"""Batches kept, each the answer to one watch: three minutes at one change per second.
+A router that is further behind gets all objects."""
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Changes that lead from one revision to another.
+    """Changes between two revisions, ``above`` exclusive and ``at`` inclusive.
 
     Attributes
     ----------
     is_whole : bool
-        The changes are all objects there are; ``above`` means nothing.
+        Whether the changes list all objects; ``above`` is then ignored.
     """
 
     above: int
@@ -36,17 +36,17 @@
 
 
 class StoreLog:
-    """What one router knows of one kind of objects.
+    """The objects of one kind as known to one router, with recent batches.
 
     Parameters
     ----------
     depth : int
-        Batches kept; 0 for kinds of few objects, which are told whole.
+        Batches kept; 0 for kinds with few objects, which are always sent whole.
 
     Attributes
     ----------
     at : int or None
-        Revision of what is known; None before the first list.
+        Current revision; None before the first list.
     """
 
     def __init__(self, depth: int = BATCHES_MAX) -> None:
@@ -56,7 +56,7 @@
         self._last_change_at = 0
 
     def apply(self, batch: Batch) -> bool:
-        """Take in a batch; returns False if it brings nothing or leaves a gap."""
+        """Apply a batch; returns False if it is old or would leave a gap."""
         if self.at is not None and batch.at <= self.at:
             return False
         if batch.is_whole:
@@ -77,32 +77,32 @@
         return True
 
     def has_gap_before(self, batch: Batch) -> bool:
-        """Whether a batch shows that changes are missing here."""
+        """Whether changes before a batch are missing here."""
         return not batch.is_whole and (self.at is None or batch.above > self.at)
 
     def has_changes_since(self, above: int) -> bool:
-        """Whether anything has changed above a revision."""
+        """Whether any object has changed after a revision."""
         return self.at is not None and above < self._last_change_at
 
     def batch_since(self, above: int) -> Batch | None:
-        """Return what leads from a revision to the present; None without a list."""
+        """Return the changes since a revision; None before the first list."""
         if self.at is None:
             return None
         if above >= self._last_change_at:
             return Batch(min(above, self.at), self.at, ())
         changes: list[storedobjects.Change] = []
-        reached = False
+        is_covered = False
         for batch in self._batches:
             if batch.at > above:
-                reached = reached or batch.above <= above
+                is_covered = is_covered or batch.above <= above
                 changes += batch.changes
-        if reached:
+        if is_covered:
             return Batch(above, self.at, tuple(changes))
-        every = (storedobjects.Change(each, False) for each in self._objects.values())
-        return Batch(0, self.at, tuple(every), is_whole=True)
+        whole = (storedobjects.Change(each, False) for each in self._objects.values())
+        return Batch(0, self.at, tuple(whole), is_whole=True)
 
     def _append(self, batch: Batch) -> None:
-        """Add a batch; one without changes makes the one before it reach further."""
+        """Append a batch; one without changes extends the previous batch instead."""
         last = self._batches[-1] if self._batches else None
         if last is not None and not batch.changes and batch.above <= last.at:
             self._batches[-1] = msgspec.structs.replace(last, at=batch.at)
--- a/celeryspan/decisions/turns.py
+++ b/celeryspan/decisions/turns.py
@@ -1,7 +1,7 @@
-"""Whose turn it is to do for the fleet what one router does for all.
+"""Order in which routers attempt work that one router does for the whole fleet.
 
-Every router waits for its turn and looks whether the work has been done meanwhile, so
-that the loss of any of them only makes it later.
+Each router waits for its position and then checks whether the work has been done, so
+that the loss of a router only delays it.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def find_position(own: ids.RouterId, routers: Iterable[ids.RouterId], duty: str) -> int:
-    """Return how many of some routers come before this one in a duty."""
-    mine = _sort_key(own, duty)
-    return sum(_sort_key(router, duty) < mine for router in routers if router != own)
+    """Return how many of the given routers precede this one for a duty."""
+    own_key = _sort_key(own, duty)
+    return sum(_sort_key(router, duty) < own_key for router in routers if router != own)
 
 
 def _sort_key(router: ids.RouterId, duty: str) -> tuple[int, ids.RouterId]:
