--- a/tests/decisions/test_callerlists.py
+++ b/tests/decisions/test_callerlists.py
@@ -1,4 +1,4 @@
-"""Callers hear of all routers that serve, and of no other."""
+"""Callers receive the addresses of all serving routers and no others."""
 
 from __future__ import annotations
 
@@ -26,32 +26,33 @@
 
 
 def choose(known: list[beliefs.MemberRecord], now: float = 10.0) -> list[int]:
-    """Return the ports of the addresses that a caller in hala-a is told."""
+    """Return the ports of the addresses in the list for a caller in hala-a."""
     found = callerlists.choose_addresses(known, "hala-a", now, random.Random(1))
     return [address.port for address in found]
 
 
-def test_routers_whose_configuration_was_not_heard_of_are_listed() -> None:
-    """A fleet of 82 starts; each router has heard directly from a few others only.
+def test_routers_with_unknown_configuration_are_listed() -> None:
+    """Guards against lists that send all nearby callers to a few routers.
 
-    A list of those few sends all callers nearby to them.
+    In a fleet of 82 that has just started, each router has heard directly from only a
+    few others.
     """
     known = [make(number, generation=5 if number < 4 else 0) for number in range(30)]
     assert sorted(choose(known)) == list(range(30))
 
 
-def test_router_that_has_just_started_is_left_out() -> None:
-    """It has no configuration yet and would refuse what comes."""
+def test_router_that_has_just_started_is_not_listed() -> None:
+    """Without a configuration the router would refuse requests."""
     assert choose([make(1, generation=5, since=9.9), make(3, since=9.0)]) == [1]
 
 
-def test_routers_that_stop_are_suspected_or_dead_are_left_out() -> None:
+def test_leaving_suspected_and_dead_routers_are_not_listed() -> None:
     others = [state for state in states.MemberState if state is not ALIVE]
     known = [make(number, state, 5) for number, state in enumerate(others)]
     assert choose(known) == []
 
 
-def test_nearest_come_first_and_lists_end() -> None:
+def test_routers_in_the_data_centre_of_the_caller_come_first() -> None:
     ports = choose([make(number, generation=1) for number in range(100)])
     assert len(ports) == callerlists.ADDRESSES_MAX
     assert all(port % 2 for port in ports[:50])
--- a/tests/decisions/test_generations.py
+++ b/tests/decisions/test_generations.py
@@ -1,4 +1,4 @@
-"""The generation in force never goes back, whoever offers what."""
+"""The applied generation never decreases, whatever is offered."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class GenerationMachine(stateful.RuleBasedStateMachine):
-    """Four routers, racing operators, a store that answers with old data."""
+    """Four routers, concurrent operators, and a store with stale reads."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,7 +24,7 @@
 
     @stateful.rule(behind=strategies.integers(0, 2), author=strategies.text(max_size=2))
     def apply(self, behind: int, author: str) -> None:
-        """Write the next generation as an operator who read some; losers are told."""
+        """Write the next generation by conditional update; fails after a stale read."""
         read = max(0, len(self.history) - 1 - behind)
         if read != len(self.history) - 1:
             return
@@ -35,19 +35,19 @@
 
     @stateful.rule(number=NUMBERS, stale=strategies.integers(0, 3))
     def read_store(self, number: int, stale: int) -> None:
-        place = max(0, len(self.history) - 1 - stale)
-        self.take(number, self.history[place])
+        index = max(0, len(self.history) - 1 - stale)
+        self.offer(number, self.history[index])
 
     @stateful.rule(sender=NUMBERS, receiver=NUMBERS, copies=strategies.integers(0, 2))
     def send(self, sender: int, receiver: int, copies: int) -> None:
-        """Lost, or doubled; delivered later in any order."""
+        """Queue no, one or two copies of a message, to be delivered in any order."""
         self.messages += [(receiver, self.routers[sender].current)] * copies
 
     @stateful.rule(data=strategies.data())
     def deliver(self, data) -> None:
         if self.messages:
-            place = data.draw(strategies.integers(0, len(self.messages) - 1))
-            self.take(*self.messages.pop(place))
+            index = data.draw(strategies.integers(0, len(self.messages) - 1))
+            self.offer(*self.messages.pop(index))
 
     @stateful.rule(number=NUMBERS)
     def restart_without_state(self, number: int) -> None:
@@ -55,14 +55,14 @@
         self.seen[number] = generations.NONE
         assert not self.routers[number].serves
 
-    def take(self, number: int, offered: int) -> None:
+    def offer(self, number: int, offered: int) -> None:
         router = self.routers[number]
         before = router.current
         applied = router.apply(offered)
         assert applied == (offered > before)
 
     @stateful.invariant()
-    def never_reverts(self) -> None:
+    def never_decreases(self) -> None:
         for number, router in enumerate(self.routers):
             assert router.current >= self.seen[number]
             assert router.current <= self.history[-1]
@@ -75,7 +75,7 @@
 )
 
 
-def test_verdicts() -> None:
+def test_only_higher_generations_are_applied() -> None:
     router = generations.Generations()
     assert router.evaluate(generations.NONE) is generations.OfferResult.SAME
     assert router.evaluate(3) is generations.OfferResult.APPLY
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -1,4 +1,4 @@
-"""At most one router holds a duty, whatever the store and the clocks do."""
+"""At most one router holds a lease, despite store faults and clock drift."""
 
 from __future__ import annotations
 
@@ -11,16 +11,25 @@
 from celeryspan.decisions import leases
 
 RATES = (1.0, 1.05, 0.95)
-"""Each router's clock runs at its own rate, and starts anywhere."""
-
-EVENTS = (*["call"] * 4, "send", "arrive", "answer", "edge", "edge", "late", "restart")
+"""Clock rate of each router; the clocks also have different offsets."""
+
+EVENTS = (
+    *["call"] * 4,
+    "send",
+    "arrive",
+    "answer",
+    "expiry",
+    "expiry",
+    "late",
+    "restart",
+)
 
 NUMBERS = strategies.integers(0, len(RATES) - 1)
 
 
 @dataclasses.dataclass
-class Flight:
-    """A call on its way, and what the store made of it once it arrived."""
+class InFlightCall:
+    """A store call in flight, and its result once it has reached the store."""
 
     call: leases.Call
     arrived: bool = False
@@ -29,15 +38,15 @@
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Three routers, one lease; answers and writes are lost, late or out of date."""
+    """Three routers and one lease; writes and answers are lost, late or stale."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.leases = [leases.Lease(f"router-{number}") for number in range(3)]
         self.values: list[leases.Record | None] = [None]
-        self.flights: list[Flight | None] = [None] * 3
-        self.late: list[Flight] = []
+        self.flights: list[InFlightCall | None] = [None] * 3
+        self.late: list[InFlightCall] = []
         self.names = 0
 
     def clock(self, number: int) -> float:
@@ -47,8 +56,8 @@
         self.names += 1
         return f"name-{self.names}"
 
-    def carry_out(self, flight: Flight, stale: bool = False) -> None:
-        """Let a call arrive; versions are places in the history."""
+    def execute(self, flight: InFlightCall, stale: bool = False) -> None:
+        """Execute a call in the store; versions are indexes into the history."""
         call, version = flight.call, len(self.values) - 1
         flight.arrived = True
         if call.operation is leases.Operation.READ:
@@ -68,38 +77,41 @@
         seconds=strategies.sampled_from([0.0, 0.1, 5.5, 5.5, 19.0]),
         stale=strategies.booleans(),
     )
-    def happen(self, event, number, other, seconds, stale) -> None:
-        """Let time pass and one thing happen; a rule each would be left out by runs."""
+    def apply_event(self, event, number, other, seconds, stale) -> None:
+        """Advance time and apply one event.
+
+        One rule for all events, because runs would leave out some of many rules.
+        """
         self.now += seconds
         match event:
             case "call":
-                self.make_whole_call(number)
+                self.make_call(number)
             case "send":
                 self.send(number)
             case "arrive":
                 self.arrive(number, stale)
             case "answer":
                 self.answer(number)
-            case "edge":
-                self.try_at_the_edge(number, other)
+            case "expiry":
+                self.call_near_expiry(number, other)
             case "late" if self.late:
-                self.carry_out(self.late.pop(0))
+                self.execute(self.late.pop(0))
             case "restart":
                 self.restart(number)
 
     def send(self, number: int) -> None:
-        """Send the next call; one without an answer may still arrive later."""
-        self.give_up_flight(number)
+        """Send the next call; an earlier one without an answer may still arrive."""
+        self.abandon_call(number)
         call = self.leases[number].next_call(
             self.clock(number), self.name(), wanted=True
         )
         if call.operation is not leases.Operation.NONE:
-            self.flights[number] = Flight(call)
+            self.flights[number] = InFlightCall(call)
 
     def arrive(self, number: int, stale: bool) -> None:
         flight = self.flights[number]
         if flight is not None and not flight.arrived:
-            self.carry_out(flight, stale)
+            self.execute(flight, stale)
 
     def answer(self, number: int) -> None:
         flight = self.flights[number]
@@ -114,26 +126,26 @@
         else:
             lease.record_written(flight.found[1])
 
-    def make_whole_call(self, number: int) -> None:
+    def make_call(self, number: int) -> None:
         self.send(number)
         self.arrive(number, stale=False)
         self.answer(number)
 
-    def try_at_the_edge(self, number: int, other: int) -> None:
-        """Let a router call just before the right of another ends."""
+    def call_near_expiry(self, number: int, other: int) -> None:
+        """Let a router call just before the term of another one ends."""
         left = self.leases[number]._valid_until - self.clock(number)
         if left > 0.2:
             self.now += (left - 0.1) / RATES[number]
-            self.make_whole_call(other)
+            self.make_call(other)
 
-    def give_up_flight(self, number: int) -> None:
+    def abandon_call(self, number: int) -> None:
         flight = self.flights[number]
         if flight is not None and not flight.arrived:
             self.late.append(flight)
         self.flights[number] = None
 
     def restart(self, number: int) -> None:
-        self.give_up_flight(number)
+        self.abandon_call(number)
         self.leases[number] = leases.Lease(f"router-{number}/{self.name()}")
 
     @stateful.invariant()
@@ -160,8 +172,8 @@
 )
 
 
-def take(lease: leases.Lease, now: float) -> None:
-    """Let a router read an empty store and create the lease."""
+def acquire(lease: leases.Lease, now: float) -> None:
+    """Read an empty store and create the lease."""
     assert lease.next_call(now, "w0", wanted=True).operation is leases.Operation.READ
     lease.record_read(None, 0, now)
     now += leases.RENEW_SECONDS
@@ -169,34 +181,34 @@
     lease.record_written(1)
 
 
-def test_holder_paused_past_its_lease_stops_before_another_may_begin() -> None:
-    """An engine loads model A, then B, then A again within a minute.
+def test_paused_holder_loses_the_lease_before_another_can_take_it() -> None:
+    """Guards against two holders that load different models into one engine in turn.
 
-    The holder of the duty is frozen by its host for longer than its lease; another
-    router takes the duty; the first wakes and goes on where it was.
+    The holder is paused by its host for longer than its term, another router takes
+    the lease, and the first one resumes where it stopped.
     """
     first, second = leases.Lease("first"), leases.Lease("second")
-    take(first, 0.0)
+    acquire(first, 0.0)
     sent_at = leases.RENEW_SECONDS
     record = leases.Record("first", 1, "w1")
     second.next_call(sent_at, "x", wanted=True)
     second.record_read(record, 1, sent_at + 0.01)
-    free_at = sent_at + 0.01 + leases.LEASE_SECONDS + leases.CLOCK_MARGIN_SECONDS
+    expires_at = sent_at + 0.01 + leases.LEASE_SECONDS + leases.CLOCK_MARGIN_SECONDS
     assert (
-        second.next_call(free_at - 0.1, "x1", wanted=True).operation
+        second.next_call(expires_at - 0.1, "x1", wanted=True).operation
         is leases.Operation.READ
     )
-    assert not first.holds(free_at - leases.CLOCK_MARGIN_SECONDS)
-    taken = second.next_call(free_at + leases.RENEW_SECONDS, "x2", wanted=True)
+    assert not first.holds(expires_at - leases.CLOCK_MARGIN_SECONDS)
+    taken = second.next_call(expires_at + leases.RENEW_SECONDS, "x2", wanted=True)
     assert taken.operation is leases.Operation.UPDATE
     assert taken.record.fence == 2
     second.record_written(2)
-    assert not first.may_order(free_at + 6, checks_fence=True)
+    assert not first.may_order(expires_at + 6, checks_fence=True)
 
 
-def test_new_holder_waits_for_orders_of_the_old_one() -> None:
+def test_new_holder_waits_for_orders_of_the_previous_one() -> None:
     lease = leases.Lease("first")
-    take(lease, 0.0)
+    acquire(lease, 0.0)
     taken_at = leases.RENEW_SECONDS
     assert lease.may_order(taken_at + 0.1, checks_fence=True)
     assert not lease.may_order(taken_at + 0.1, checks_fence=False)
@@ -206,7 +218,7 @@
     assert not lease.may_order(end - leases.ORDER_SECONDS, checks_fence=True)
 
 
-def test_lost_answer_of_a_write_that_took_effect_is_read_back() -> None:
+def test_write_with_a_lost_answer_is_confirmed_by_a_read() -> None:
     lease = leases.Lease("first")
     lease.next_call(0.0, "w0", wanted=True)
     lease.record_read(None, 0, 0.0)
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, doubling, delay, pauses, restarts and cuts."""
+"""Membership under loss, duplication, delay, pauses, restarts and partitions."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Anything happens to five routers; then nothing does, and they must agree."""
+    """Random faults on five routers, which must converge once the faults end."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = virtual.Fleet(SIZE, 6, loss=0.1, disorder=0.2)
         self.names = list(self.fleet.routers)
-        self.lives = 1
+        self.incarnations = 1
 
     @stateful.rule(
         event=strategies.sampled_from(EVENTS),
@@ -31,8 +31,11 @@
         seconds=strategies.sampled_from([0.2, 1.0, 5.0, 20.0]),
         half=strategies.sets(strategies.integers(0, SIZE - 1), min_size=1),
     )
-    def happen(self, event, number, seconds, half) -> None:
-        """Let one thing happen and time pass; a rule each would be left out by runs."""
+    def apply_event(self, event, number, seconds, half) -> None:
+        """Apply one event and advance time.
+
+        One rule for all events, because runs would leave out some of many rules.
+        """
         router = self.fleet.routers[self.names[number]]
         inside = {self.names[place] for place in half}
         match event:
@@ -49,12 +52,12 @@
         self.fleet.run(seconds)
 
     def restart_without_state(self, number: int) -> None:
-        self.lives += 1
-        member = virtual.make_member(number, self.lives)
+        self.incarnations += 1
+        member = virtual.make_member(number, self.incarnations)
         self.fleet.start(member, [virtual.make_member(0)])
 
     @stateful.invariant()
-    def holds_itself_alive(self) -> None:
+    def own_state_is_alive(self) -> None:
         for router in self.fleet.routers.values():
             assert router.decision.own.state is states.MemberState.ALIVE
 
@@ -72,8 +75,10 @@
 )
 
 
-def watch(fleet: virtual.Fleet, change: statements.Change) -> list[tuple[float, str]]:
-    """Note who is found to have changed so, and when."""
+def record_changes(
+    fleet: virtual.Fleet, change: statements.Change
+) -> list[tuple[float, str]]:
+    """Return a list that collects the time and router of each change of one kind."""
     found: list[tuple[float, str]] = []
 
     def observe(now, _router, seen, member) -> None:
@@ -85,44 +90,45 @@
 
 
 @pytest.mark.parametrize("size", [6, 40])
-def test_dead_router_is_found_by_all_and_nobody_else(size: int) -> None:
+def test_all_routers_detect_the_dead_router_and_no_other(size: int) -> None:
     fleet = virtual.Fleet(size, 1)
     fleet.run(5)
-    dead = watch(fleet, statements.Change.DEAD)
+    dead = record_changes(fleet, statements.Change.DEAD)
     victim = list(fleet.routers)[size // 2]
     fleet.routers[victim].running = False
-    began = fleet.now
+    killed_at = fleet.now
     fleet.run(15)
     assert {name for _, name in dead} == {victim}
     assert len(dead) == size - 1
-    assert max(now for now, _ in dead) - began < 10
+    assert max(now for now, _ in dead) - killed_at < 10
 
 
-def test_paused_router_that_wakes_rejoins_and_suspects_nobody() -> None:
-    """A VM is frozen for a minute by its host and its callers come back to it.
+def test_paused_router_rejoins_on_resume_and_suspects_nobody() -> None:
+    """Guards against a resumed VM that declares all its peers dead.
 
-    Its peers hold it dead meanwhile. When it wakes it has a minute of unanswered
-    probes on its books; it must not hold all others dead for that.
+    Its host pauses it for a minute, and its peers declare it dead. When it resumes, its
+    probes from before the pause have timed out because it could not read the acks.
     """
     fleet = virtual.Fleet(6, 2, loss=0.0)
     fleet.run(5)
-    sleeper = fleet.routers["router-0003"]
-    sleeper.paused_until = fleet.now + 60
+    paused = fleet.routers["router-0003"]
+    paused.paused_until = fleet.now + 60
     fleet.run(59)
     assert not fleet.agrees()
-    suspected = watch(fleet, statements.Change.SUSPECTED)
-    refuted = watch(fleet, statements.Change.REFUTED)
+    suspected = record_changes(fleet, statements.Change.SUSPECTED)
+    refuted = record_changes(fleet, statements.Change.REFUTED)
     fleet.run_until_agreed(10)
     assert suspected == []
     assert {name for _, name in refuted} <= {"router-0003"}
-    assert sleeper.decision.own.refutations == 1
+    assert paused.decision.own.refutations == 1
 
 
-def test_cut_in_two_twice_heals_and_merges_with_a_restart_inside() -> None:
-    """Two data centres lose each other, and again while the first cut is mended.
+def test_members_converge_after_two_partitions_with_a_restart() -> None:
+    """Guards against members that stay dead after a network partition heals.
 
-    A router restarts inside the cut with no state: it knows the settings' peers of
-    its own side only. When the cut heals all must hold the same ones alive.
+    Two overlapping partitions follow each other. During each a router restarts without
+    state and knows only one seed on its own side. After the last one heals, all
+    routers must agree on who is alive.
     """
     fleet = virtual.Fleet(12, 3)
     names = list(fleet.routers)
@@ -133,16 +139,16 @@
         fleet.run(20)
         fleet.start(virtual.make_member(4, 2), [virtual.make_member(5)])
         fleet.run(20)
-        near = fleet.routers[names[5]].decision.alive()
-        assert {member.router for member in near} == inside
+        visible = fleet.routers[names[5]].decision.alive()
+        assert {member.router for member in visible} == inside
     fleet.cut = lambda *_: False
     assert fleet.run_until_agreed(20) < 20
 
 
-def test_router_that_leaves_is_told_from_one_that_died() -> None:
+def test_leaving_router_is_reported_as_leaving() -> None:
     fleet = virtual.Fleet(6, 4)
     fleet.run(5)
-    leaving = watch(fleet, statements.Change.LEAVING)
+    leaving = record_changes(fleet, statements.Change.LEAVING)
     router = fleet.routers["router-0002"]
     actions = router.decision.leave(states.MemberState.LEAVING)
     fleet._carry_out("router-0002", router, actions)
@@ -150,8 +156,8 @@
     assert len(leaving) == 5
 
 
-def test_all_hear_that_a_router_is_busy_and_that_it_is_calm_again() -> None:
-    """Guards against routers that ask different homes for as long as a flood lasts."""
+def test_busy_state_of_a_router_reaches_all_others() -> None:
+    """Guards against routers that select different homes while an overload lasts."""
     fleet = virtual.Fleet(60, 4, loss=0.1, disorder=0.2)
     fleet.run(20.0)
     names = list(fleet.routers)
@@ -160,26 +166,26 @@
         fleet._carry_out(names[7], router, router.decision.set_busy(is_busy))
         fleet.run(3.0)
         for name in names[:7] + names[8:]:
-            belief = fleet.routers[name].decision.members.find(names[7])
-            assert belief.member.is_busy is is_busy
+            record = fleet.routers[name].decision.members.find(names[7])
+            assert record.member.is_busy is is_busy
 
 
-def test_name_taken_by_another_vm_is_given_up_by_the_paused_one() -> None:
-    """A VM is paused and replaced by another of its name, then wakes.
+def test_paused_vm_leaves_if_another_vm_has_taken_its_name() -> None:
+    """Guards against two VMs that use the same router name.
 
-    Were each to outdo the other's incarnation they would do so for ever, and callers
-    would be sent to one and the other in turn.
+    A VM is paused, replaced by another of the same name, and resumes. If each raised
+    its incarnation above the other's, callers would be sent to both in turn.
     """
     fleet = virtual.Fleet(4, 5)
     old = fleet.routers["router-0001"]
-    later = virtual.make_member(9, 2)
-    later = msgspec.structs.replace(later, router="router-0001")
-    actions = old.decision.handle_statement(later, 1.0, "router-0002")
+    newer = virtual.make_member(9, 2)
+    newer = msgspec.structs.replace(newer, router="router-0001")
+    actions = old.decision.handle_statement(newer, 1.0, "router-0002")
     assert actions == []
     assert old.decision.own.state is states.MemberState.LEAVING
 
 
-def test_cost_is_flat() -> None:
+def test_traffic_per_router_does_not_depend_on_fleet_size() -> None:
     rates = []
     for size in (6, 60):
         fleet = virtual.Fleet(size, 6)
--- a/tests/decisions/test_relays.py
+++ b/tests/decisions/test_relays.py
@@ -1,4 +1,4 @@
-"""Few routers read the store, and none is without news for long."""
+"""Few routers read the store, and none lacks its changes for long."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 PLACES = [f"hala-{letter}" for letter in "abcde"]
 ROUTERS = {f"edge-{number}": PLACES[number % 5] for number in range(110)}
-PATIENCE = 2.0
+STARTUP_DELAY = 2.0
 
 
 def make(own: str = "edge-0") -> relays.Relays:
-    found = relays.Relays(own, 0.0, PATIENCE)
+    found = relays.Relays(own, 0.0, STARTUP_DELAY)
     found.set_duties(relays.choose_duties(own, ROUTERS))
     return found
 
 
 def find_leaf() -> str:
-    """Return a router that neither reads for the fleet nor relays."""
+    """Return a router that is neither reader nor relay."""
     duties = {router: relays.choose_duties(router, ROUTERS) for router in ROUTERS}
     return next(
         router
@@ -26,7 +26,7 @@
 
 
 def find_relay() -> str:
-    """Return a router that relays and does not read for the fleet."""
+    """Return a relay that is not a reader."""
     duties = {router: relays.choose_duties(router, ROUTERS) for router in ROUTERS}
     return next(
         router
@@ -35,7 +35,7 @@
     )
 
 
-def test_all_agree_on_two_readers_of_two_data_centres() -> None:
+def test_all_routers_select_the_same_readers_in_two_data_centres() -> None:
     chosen = {relays.choose_duties(router, ROUTERS).readers for router in ROUTERS}
     assert len(chosen) == 1
     readers = chosen.pop()
@@ -43,12 +43,12 @@
     assert len({ROUTERS[router] for router in readers}) == relays.READERS
 
 
-def test_readers_share_a_data_centre_if_there_is_only_one() -> None:
+def test_single_data_centre_has_both_readers() -> None:
     routers = dict.fromkeys(["edge-0", "edge-1", "edge-2"], "hala-a")
     assert len(relays.choose_readers(routers)) == relays.READERS
 
 
-def test_each_data_centre_has_relays_of_its_own_that_hear_the_readers() -> None:
+def test_each_data_centre_has_relays_that_subscribe_to_the_readers() -> None:
     for place in PLACES:
         here = [router for router in ROUTERS if ROUTERS[router] == place]
         duties = {router: relays.choose_duties(router, ROUTERS) for router in here}
@@ -61,10 +61,11 @@
         assert all(set(duties[leaf].sources) == set(relaying) for leaf in leaves)
 
 
-def test_readers_hear_each_other() -> None:
-    """A reader is cut off from the store for some seconds.
+def test_readers_subscribe_to_each_other() -> None:
+    """Guards against a reader that keeps an old server list when it loses the store.
 
-    It told others what it had read, asked nobody, and kept an old list of servers.
+    Without a subscription to the other reader it gets no changes until the store is
+    reachable again.
     """
     readers = relays.choose_readers(ROUTERS)
     for reader in readers:
@@ -72,45 +73,47 @@
         assert set(sources) == set(readers) - {reader}
 
 
-def test_router_alone_reads_the_store_once_others_would_have_been_met() -> None:
-    """All routers start at once, and none knows another one yet.
+def test_router_without_peers_reads_the_store_after_the_settle_time() -> None:
+    """Guards against a fleet in which every router reads the store at startup.
 
-    Each took itself for a reader: 195 listed and watched the store.
+    All routers start at once and know no others yet, so each selects itself as a
+    reader; in a fleet of 195, all listed and watched the store.
     """
-    alone = relays.Relays("edge-0", 0.0, PATIENCE)
+    alone = relays.Relays("edge-0", 0.0, STARTUP_DELAY)
     assert not alone.must_read(0.1)
     assert alone.must_read(relays.SETTLE_SECONDS)
 
 
-def test_reader_that_the_list_names_reads_at_once() -> None:
-    """All routers lose power and start again while callers go on."""
+def test_reader_named_by_the_store_reads_at_once() -> None:
+    """Guards against a delay after all routers lose power and restart under load."""
     reader = relays.choose_readers(ROUTERS)[0]
-    found = relays.Relays(reader, 0.0, PATIENCE)
+    found = relays.Relays(reader, 0.0, STARTUP_DELAY)
     found.set_duties(relays.choose_duties(reader, ROUTERS), is_settled=True)
     assert found.must_read(0.0)
 
 
-def test_router_that_starts_leaves_it_to_others_first() -> None:
-    """A router starts again in a fleet that knows all it needs.
+def test_starting_router_waits_for_reports_before_it_reads() -> None:
+    """Guards against a restarted router that reads what its peers already know.
 
-    It listed and watched the store until it had met its sources: 20 paid calls.
+    It listed and watched the store until it reached its sources: 20 paid calls.
     """
     found = make(find_leaf())
-    assert not found.must_read(PATIENCE - 0.1)
-    assert found.must_read(PATIENCE)
+    assert not found.must_read(STARTUP_DELAY - 0.1)
+    assert found.must_read(STARTUP_DELAY)
 
 
-def test_word_of_one_source_is_enough() -> None:
+def test_report_of_one_source_is_enough() -> None:
     found = make(find_leaf())
     found.record_report(found.duties.sources[0], 1.0, 10.0, is_away=False)
     assert not found.must_read(10.5)
     assert not found.is_away()
 
 
-def test_silent_sources_are_not_waited_for() -> None:
-    """Both sources are killed at once, and a backend server leaves.
+def test_router_reads_the_store_when_all_sources_are_silent() -> None:
+    """Guards against requests to a backend server that has left.
 
-    A router that waits for their word would send to the server for good.
+    Both sources are killed at once. A router that kept waiting for their reports would
+    never learn that the server is leaving.
     """
     for router, limit in (
         (find_relay(), relays.FRESH_SECONDS_RELAYS),
@@ -123,21 +126,21 @@
         assert found.must_read(10.0 + limit)
 
 
-def test_relays_read_before_those_that_hear_them() -> None:
-    """Both readers are killed at once.
+def test_relays_read_before_their_subscribers() -> None:
+    """Guards against store reads by the whole fleet when both readers are killed.
 
-    All routers of the fleet read the store until the next two were known.
+    Every router read the store until the next two readers were known.
     """
     relay, leaf = make(find_relay()), make(find_leaf())
     for found in (relay, leaf):
         found.record_report("reader", 0.0, 10.0, is_away=False)
-    moment = 10.0 + relays.FRESH_SECONDS_RELAYS + 0.1
-    assert relay.must_read(moment)
-    assert not leaf.must_read(moment)
+    now = 10.0 + relays.FRESH_SECONDS_RELAYS + 0.1
+    assert relay.must_read(now)
+    assert not leaf.must_read(now)
 
 
-def test_source_cut_off_from_the_store_is_not_trusted() -> None:
-    """A source goes on telling, but what it knows grows old."""
+def test_reports_with_old_data_do_not_count_as_fresh() -> None:
+    """Guards against trust in a source that still reports but has lost the store."""
     found = make(find_leaf())
     for tick in range(40):
         now = 10.0 + tick * 0.1
@@ -149,8 +152,8 @@
     assert not found.is_away()
 
 
-def test_routers_that_hear_each_other_do_not_keep_old_news_fresh() -> None:
-    """Two readers tell each other while the store is gone."""
+def test_mutual_reports_do_not_keep_old_data_fresh() -> None:
+    """Guards against two readers that confirm each other while the store is down."""
     first, second = make(find_leaf()), make(find_leaf())
     first.record_report("edge-x", 0.0, 0.0, is_away=False)
     for tick in range(60):
@@ -160,10 +163,11 @@
     assert first.must_read(now)
 
 
-def test_source_that_tells_is_asked_seldom() -> None:
-    """195 routers ask two sources for two kinds of objects each second.
+def test_subscription_to_an_active_source_is_rarely_renewed() -> None:
+    """Guards against excessive subscription traffic.
 
-    A third of the messages of a fleet at rest were such questions.
+    195 routers that renewed two subscriptions for two kinds of objects every second
+    caused a third of the messages of an idle fleet.
     """
     found = make(find_leaf())
     source = found.duties.sources[0]
@@ -178,7 +182,7 @@
     assert found.must_subscribe(source, 10.0, 10.1 + relays.FRESH_SECONDS_RELAYS)
 
 
-def test_old_words_are_forgotten() -> None:
+def test_old_reports_are_dropped() -> None:
     found = make(find_leaf())
     found.record_report("gone", 0.0, 0.0, is_away=True)
     found.expire_reports(relays.REPORT_EXPIRY_SECONDS + 0.1)
--- a/tests/decisions/test_storelog.py
+++ b/tests/decisions/test_storelog.py
@@ -1,4 +1,4 @@
-"""What one router passes on leads another one to the same objects."""
+"""Batches from one router bring another one to the same objects."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
     return storelog.Batch(0, at, changes, is_whole=True)
 
 
-def test_nothing_is_told_before_a_list() -> None:
+def test_no_batch_before_the_first_list() -> None:
     assert storelog.StoreLog().batch_since(0) is None
 
 
-def test_quiet_kind_is_not_told_again() -> None:
-    """Heartbeats of servers raise the store's revision a hundred times a second.
+def test_unchanged_kind_is_not_sent_again() -> None:
+    """Guards against a full configuration in every report.
 
-    Each word about the configuration would carry all of it.
+    Server heartbeats raise the store's revision a hundred times per second although
+    the configuration does not change.
     """
     log = storelog.StoreLog(depth=0)
     log.apply(make_whole(5, make_change("main", 4)))
@@ -38,8 +39,8 @@
     assert log.batch_since(3).is_whole
 
 
-def test_gap_is_seen_and_not_taken() -> None:
-    """One message between two routers is lost; it said that a server is gone."""
+def test_batch_after_a_gap_is_detected_and_rejected() -> None:
+    """Guards against a lost message that reported the deletion of a server."""
     log = storelog.StoreLog()
     log.apply(make_whole(5, make_change("s1", 4)))
     late = storelog.Batch(7, 9, (make_change("s2", 9),))
@@ -48,8 +49,12 @@
     assert log.at == 5
 
 
-def test_batch_from_before_is_ignored() -> None:
-    """The slower of two sources tells of a deletion after the server came back."""
+def test_old_batch_is_ignored() -> None:
+    """Guards against a late deletion that removes a server which has come back.
+
+    The slower of two sources reports the deletion after the faster one has reported
+    that the server returned.
+    """
     log = storelog.StoreLog()
     log.apply(make_whole(5, make_change("s1", 4)))
     log.apply(storelog.Batch(5, 9, (make_change("s1", 8, True), make_change("s1", 9))))
@@ -57,8 +62,8 @@
     assert [change.object.name for change in log.batch_since(0).changes] == ["s1"]
 
 
-class Passing(stateful.RuleBasedStateMachine):
-    """A store, two sources that read it, and a listener that hears both."""
+class ReplicationMachine(stateful.RuleBasedStateMachine):
+    """A store, two sources that read it, and a receiver subscribed to both."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -66,7 +71,7 @@
         self.objects: dict[str, storedobjects.StoredObject] = {}
         self.history: list[tuple[int, storedobjects.Change]] = []
         self.sources = [storelog.StoreLog(depth=3), storelog.StoreLog(depth=3)]
-        self.listener = storelog.StoreLog(depth=3)
+        self.receiver = storelog.StoreLog(depth=3)
 
     @stateful.rule(name=NAMES)
     def write(self, name: str) -> None:
@@ -96,15 +101,15 @@
         source.apply(storelog.Batch(source.at, self.revision, new))
 
     @stateful.rule(which=strategies.integers(0, 1), back=strategies.integers(0, 6))
-    def tell(self, which: int, back: int) -> None:
-        """Tell from where the listener was some time ago, or may be."""
-        batch = self.sources[which].batch_since(max(0, (self.listener.at or 0) - back))
+    def send(self, which: int, back: int) -> None:
+        """Send the changes since the receiver's revision, or since an earlier one."""
+        batch = self.sources[which].batch_since(max(0, (self.receiver.at or 0) - back))
         if batch is not None:
-            self.listener.apply(batch)
+            self.receiver.apply(batch)
 
     @stateful.invariant()
     def holds_the_state_of_its_revision(self) -> None:
-        for log in (*self.sources, self.listener):
+        for log in (*self.sources, self.receiver):
             if log.at is None:
                 continue
             expected: dict[str, storedobjects.StoredObject] = {}
@@ -118,7 +123,7 @@
             assert log._objects == expected
 
 
-TestPassing = Passing.TestCase
-TestPassing.settings = hypothesis.settings(
+TestReplication = ReplicationMachine.TestCase
+TestReplication.settings = hypothesis.settings(
     max_examples=200, stateful_step_count=40, deadline=None, derandomize=True
 )
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_turns.py
@@ -1,4 +1,4 @@
-"""Who does for the fleet what one router does for all."""
+"""Order in which routers attempt work for the whole fleet."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 ROUTERS = [f"edge-{number}" for number in range(40)]
 
 
-def test_every_router_has_a_turn_of_its_own() -> None:
+def test_positions_are_unique() -> None:
     found = [turns.find_position(router, ROUTERS, "quarantine") for router in ROUTERS]
     assert sorted(found) == list(range(40))
 
 
-def test_loss_of_the_first_puts_the_next_in_its_place() -> None:
+def test_next_router_replaces_the_first_if_it_is_lost() -> None:
     found = {
         turns.find_position(router, ROUTERS, "quarantine"): router for router in ROUTERS
     }
@@ -20,7 +20,7 @@
     assert turns.find_position(found[1], left, "quarantine") == 0
 
 
-def test_duties_fall_to_different_routers() -> None:
+def test_duties_are_spread_over_routers() -> None:
     first = {
         next(r for r in ROUTERS if turns.find_position(r, ROUTERS, f"duty-{n}") == 0)
         for n in range(20)
