--- a/celeryspan/decisions/relays.py
+++ b/celeryspan/decisions/relays.py
@@ -113,11 +113,11 @@
         own one.
     """
     readers = choose_readers(routers)
-    beside = [router for router in routers if routers[router] == routers[own]]
-    relays = watchers.choose("relay", beside, RELAYS)
+    nearby = [router for router in routers if routers[router] == routers[own]]
+    relays = watchers.choose("relay", nearby, RELAYS)
     is_reader, is_relay = own in readers, own in relays
-    heard = readers if is_reader or is_relay else relays
-    sources = tuple(router for router in heard if router != own)
+    followed = readers if is_reader or is_relay else relays
+    sources = tuple(router for router in followed if router != own)
     return Duties(readers, sources, is_reader, is_relay)
 
 
--- a/tests/decisions/test_callerlists.py
+++ b/tests/decisions/test_callerlists.py
@@ -34,8 +34,8 @@
 def test_routers_with_unknown_configuration_are_listed() -> None:
     """Guards against lists that send all nearby callers to a few routers.
 
-    In a fleet of 82 that has just started, each router has heard directly from only a
-    few others.
+    In a fleet of 82 that has just started, each router has received datagrams from
+    only a few others.
     """
     known = [make(number, generation=5 if number < 4 else 0) for number in range(30)]
     assert sorted(choose(known)) == list(range(30))
