--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -274,7 +274,7 @@
 def measure_moves() -> float:
     """Return moves an hour under a steady, noisy load of four models, once settled."""
     generator = random.Random(5)
-    found = placement.Placement()
+    found = placement.PlacementPlanner()
     servers = {f"server-{number:02}": f"model-{number % 4}" for number in range(40)}
     loads = {"model-0": 130, "model-1": 70, "model-2": 20, "model-3": 10}
     moves: list[float] = []
@@ -283,11 +283,11 @@
             name: _press(name, load * generator.uniform(0.85, 1.15), servers)
             for name, load in loads.items()
         }
-        placed = {name: placement.Placed(to, 8) for name, to in servers.items()}
-        move = found.choose(seen, placed, now)
+        placed = {name: placement.PlacedServer(to, 8) for name, to in servers.items()}
+        move = found.choose_move(seen, placed, now)
         if move is not None:
-            found.note_move(move.server, now)
-            servers[move.server] = move.taker
+            found.record_move(move.server, now)
+            servers[move.server] = move.target
             moves.append(now)
     settled = [now for now in moves if now >= 3600]
     print(f"placement: {len(moves)} moves, {len(settled)} after the first hour")
--- a/bench/footprints.py
+++ b/bench/footprints.py
@@ -83,7 +83,9 @@
     """Return a map of blocks that one server each holds."""
     cache = routing.CacheMap()
     for block in range(size):
-        cache.sent(ids.ServerId(f"server-{block % 8}"), (block * 7919 << 32,), 0.0)
+        cache.record_sent(
+            ids.ServerId(f"server-{block % 8}"), (block * 7919 << 32,), 0.0
+        )
     return cache
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -83,7 +83,7 @@
     window: limits.Window, load: limits.LoadReport, used: int, now: float
 ) -> None:
     """Change as the package does."""
-    window.report(load, used, now)
+    window.record_load(load, used, now)
 
 
 class Engine:
--- a/bench/node.py
+++ b/bench/node.py
@@ -141,9 +141,9 @@
             return ()
         if stage is exchange.Stage.ALL:
             attempt = self.demands.find_attempt(key, self.world.now)
-            return homes.sample(set(names.values()), self.name, key[0], attempt)
+            return homes.sample_homes(set(names.values()), self.name, key[0], attempt)
         self.turn += 1
-        first = homes.pick_first(names, self.name, key[0], self.turn)
+        first = homes.pick_first_home(names, self.name, key[0], self.turn)
         return () if self.demands.believers(key) or first is None else (first,)
 
     def make_demand(self, key: Key) -> messages.Demand:
@@ -292,7 +292,7 @@
         old = dict(item for found in self.homes.values() for item in found.items())
         for service in self.world.services:
             servers = self.fleet.servers[service]
-            found = homes.assign(servers, names)
+            found = homes.assign_homes(servers, names)
             before = set(self.homes.get(service, {}).values())
             self.homes[service] = {key: int(home[7:]) for key, home in found.items()}
             for server, home in self.homes[service].items():
--- a/bench/one_router.py
+++ b/bench/one_router.py
@@ -199,8 +199,8 @@
         self.queues = queueing.Queues()
         self.admission = admission.Admission(self.queues, bounds)
         self.cache = routing.CacheMap()
-        self.routing = routing.Routing(self.cache)
-        self.outliers = outliers.Outliers()
+        self.routing = routing.AffinityRouting(self.cache)
+        self.outliers = outliers.OutlierDetector()
         self.retries = retries.Retries()
         self.now = 0.0
         self.records: list[Record] = []
@@ -230,12 +230,12 @@
 
     def _tick(self) -> None:
         """Each second: trials of ejected servers, and cache events that lag."""
-        self.outliers.evaluate(self.now)
+        self.outliers.start_due_trials(self.now)
         for server in self.servers.values():
             self._take_cache_events(server)
             if self.mechanisms.ejection:
                 sums = server.sum_running(self.now)
-                self.outliers.observe(server.name, *sums, self.now)
+                self.outliers.record_running(server.name, *sums, self.now)
         if self._events or self._by_request:
             self.at(self.now + 1.0, self._tick)
 
@@ -248,7 +248,7 @@
         kept = [
             event for event in ready if self.rng.random() >= self.mechanisms.event_loss
         ]
-        self.cache.apply(server.name, kept, ready[-1].sequence, self.now)
+        self.cache.apply_events(server.name, kept, ready[-1].sequence, self.now)
 
     def _arrive(self, record: Record, attempt: int = 1, excluded=frozenset()) -> None:
         call = record.call
@@ -327,7 +327,7 @@
         candidates = [
             routing.Candidate(one.name, one.slots, one.in_use) for one in free
         ]
-        best = self.routing.choose(entry.work, candidates, self.now, self.rng)
+        best = self.routing.choose_server(entry.work, candidates, self.now, self.rng)
         return sorted(free, key=lambda one: one.name != best)
 
     def _lift(self, account: ids.AccountId) -> None:
@@ -350,12 +350,15 @@
 
     def _make_fit(self, server: Server) -> queueing.Fit:
         if self.mechanisms.affinity == "here":
-            return lambda work: self.cache.cached(server.name, work.prefix)
-        return lambda work: self.routing.fit(server.name, work)
+            return lambda work: self.cache.expected_blocks(server.name, work.prefix)
+        return lambda work: self.routing.affinity(server.name, work)
 
     def _pin(self, work: dispatch.Work) -> dispatch.Work:
         """Let a prompt go to the rendezvous of its prefix only."""
-        best = max(self.servers, key=lambda name: routing.rank(name, work.prefix[0]))
+        best = max(
+            self.servers,
+            key=lambda name: routing.rendezvous_weight(name, work.prefix[0]),
+        )
         others = frozenset(name for name in self.servers if name != best)
         return msgspec.structs.replace(work, excluded=others)
 
@@ -373,7 +376,7 @@
         failed = server.fails
         if failed:
             seconds = self.failure_seconds
-        expected = self.cache.sent(server.name, record.call.prompt, self.now)
+        expected = self.cache.record_sent(server.name, record.call.prompt, self.now)
         known = (expected, cached)
         self.at(
             self.now + seconds,
@@ -402,7 +405,7 @@
             self._failed(server, entry, record, attempt)
             return
         server.store(call.prompt, self.now)
-        self.cache.observe(server.name, *known)
+        self.cache.record_cached(server.name, *known)
         self.retries.succeed(SERVICE)
         record.ended_at = self.now
         record.code = "late"
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -239,13 +239,13 @@
 
     def __init__(self, owner: world.World) -> None:
         super().__init__(owner)
-        owner.after(preemption.PACE_SECONDS, self._preempt)
+        owner.after(preemption.PREEMPTION_INTERVAL_SECONDS, self._preempt)
 
     def _preempt(self) -> None:
         for service in self._world.services:
             if service in MODEL_SERVICES:
                 self._preempt_service(service)
-        self._world.after(preemption.PACE_SECONDS, self._preempt)
+        self._world.after(preemption.PREEMPTION_INTERVAL_SECONDS, self._preempt)
 
     def _preempt_service(self, service: str) -> None:
         levels, waiting, running = self._queue.describe(service)
@@ -259,7 +259,7 @@
         victim = preemption.pick_victim(levels, waiting, streams, self.ahead)
         if victim is not None:
             job = streams[victim]
-            self._world.suspend(job, preemption.RECOMPUTED)
+            self._world.suspend(job, preemption.RECOMPUTE_COST_SHARE)
             self._queue.put_back(job)
             self._fill(service)
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -130,7 +130,7 @@
         jitter = self.rng.random()
         self._decide(node.admission.admit, work, 1000, MEAN_COST, self.now, jitter)
         found = self._homes[service]
-        first = homes.pick_first(found, node.router, service, node.sequence)
+        first = homes.pick_first_home(found, node.router, service, node.sequence)
         self._tell_demand(node, service, account, [first])
         again = functools.partial(self._widen, node, service, account, 0)
         self.at(self.now + exchange.ESCALATE_SECONDS, again)
@@ -146,7 +146,9 @@
         if not node.queues.waiting(service, account):
             return
         every = self._homes[service].values()
-        told = self._decide(homes.sample, set(every), node.router, service, attempt)
+        told = self._decide(
+            homes.sample_homes, set(every), node.router, service, attempt
+        )
         self._tell_demand(node, service, account, told)
         again = functools.partial(self._widen, node, service, account, attempt + 1)
         self.at(self.now + exchange.RESAMPLE_SECONDS, again)
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -175,7 +175,7 @@
         dataclasses.replace(
             hold("planned: sums of regions", sums, found.size(counter)), is_built=False
         ),
-        hold("cached blocks", routing.MAX_BLOCKS, block),
+        hold("cached blocks", routing.MAX_PAIRS, block),
         hold("series of metrics", metrics.PAIRS_MAX, pair),
         hold("waiting requests", WAITING, entry),
     ]
--- a/celeryspan/adapters/orders.py
+++ b/celeryspan/adapters/orders.py
@@ -52,8 +52,8 @@
     def send(
         self,
         address: ids.Address,
-        kind: loading.Kind,
-        wanted: loading.Wanted,
+        kind: loading.OrderKind,
+        wanted: loading.DesiredState,
         fence: int,
     ) -> None:
         """Send one order.
@@ -66,7 +66,7 @@
             If there is no answer; the order may have been taken.
         """
         order: dict[str, object] = {"fence": fence, "kind": kind.value}
-        if kind is loading.Kind.LOAD:
+        if kind is loading.OrderKind.LOAD:
             order["model"] = wanted.model
             order["adapters"] = list(wanted.adapters)
             order["version"] = wanted.version
--- a/celeryspan/decisions/departures.py
+++ b/celeryspan/decisions/departures.py
@@ -16,7 +16,7 @@
 from celeryspan import ids, states
 from celeryspan.wire import messages
 
-LAG_SECONDS = 60.0
+VM_LIST_LAG_SECONDS = 60.0
 """A list that calls a server live is believed only this long after the server was
 said to leave: longer than the list has been seen to lag, and a server that has come
 back waits no longer than a restart takes."""
@@ -50,7 +50,7 @@
         self._facts[fact.server] = fact
         return True
 
-    def mark(
+    def record_state(
         self, server: ids.ServerId, state: states.ServerState, clock: int
     ) -> messages.ServerFact | None:
         """Take the word of a server itself; returns the fact to spread, if it is new.
@@ -69,7 +69,7 @@
         self._facts[server] = fact
         return fact
 
-    def take_list(
+    def apply_vm_list(
         self, listed: Iterable[tuple[ids.ServerId, states.ServerState]], clock: int
     ) -> list[messages.ServerFact]:
         """Take the VM list; returns the facts to spread."""
@@ -77,14 +77,14 @@
         for server, state in listed:
             known = self._facts.get(server)
             if state is states.ServerState.LIVE and known is not None:
-                if clock - known.version < LAG_SECONDS * 1_000_000:
+                if clock - known.version < VM_LIST_LAG_SECONDS * 1_000_000:
                     continue
-            fact = self.mark(server, state, clock)
+            fact = self.record_state(server, state, clock)
             if fact is not None:
                 found.append(fact)
         return found
 
-    def keep(self, servers: Iterable[ids.ServerId]) -> None:
+    def retain(self, servers: Iterable[ids.ServerId]) -> None:
         """Forget servers that the register does not name any more."""
         kept = frozenset(servers)
         self._facts = {
--- a/celeryspan/decisions/engines.py
+++ b/celeryspan/decisions/engines.py
@@ -32,9 +32,9 @@
         For one token to look at one before it; 0.263 ms for a million pairs.
     chunk_tokens : int
         Tokens read in one step.
-    step_seconds, step_run_seconds : float
+    step_seconds, step_seconds_per_run : float
         A step without reading: at least 3.27 ms, and 0.0823 ms more a running request.
-    first_seconds : float
+    first_event_seconds : float
         From the end of reading to the first event: a stride of steps and the way back.
     """
 
@@ -42,15 +42,17 @@
     pair_seconds: float = 0.263e-9
     chunk_tokens: int = 4096
     step_seconds: float = 0.00327
-    step_run_seconds: float = 0.0000823
-    first_seconds: float = 0.062
+    step_seconds_per_run: float = 0.0000823
+    first_event_seconds: float = 0.062
 
-    def read_seconds(self, unread: int, kept: int) -> float:
+    def prefill_seconds(self, unread: int, kept: int) -> float:
         """Return the time to read the rest of a prompt of which a part is kept."""
         pairs = unread * kept + unread * unread / 2
         return unread * self.token_seconds + pairs * self.pair_seconds
 
-    def gap_seconds(self, unread: int, kept: int, stride: int, running: int) -> float:
+    def max_gap_seconds(
+        self, unread: int, kept: int, stride: int, running: int
+    ) -> float:
         """Return the longest pause that reading a prompt causes in streams beside it.
 
         An event of a stream holds ``stride`` tokens, so that as many steps lie between
@@ -61,18 +63,20 @@
         running : int
             Streams in progress at the engine.
         """
-        steps = stride * (self.step_seconds + self.step_run_seconds * running)
+        steps = stride * (self.step_seconds + self.step_seconds_per_run * running)
         chunks = min(stride, math.ceil(unread / self.chunk_tokens))
         last = min(unread, chunks * self.chunk_tokens)
-        return steps + self.read_seconds(last, kept + unread - last)
+        return steps + self.prefill_seconds(last, kept + unread - last)
 
-    def rest_seconds(self, engine: catalog.Engine, gap_max: float = 0.3) -> float:
+    def prefill_pause_seconds(
+        self, engine: catalog.Engine, gap_max: float = 0.3
+    ) -> float:
         """Return the pause that reading needs after a burst as long as may be.
 
         Streams make an event in ``stride`` steps; if more of these read than fit into
         the longest pause, some of them must not, wherever the event begins.
         """
-        step = self.step_seconds + self.step_run_seconds * engine.slots
+        step = self.step_seconds + self.step_seconds_per_run * engine.slots
         chunk = self.chunk_tokens * self.token_seconds
         reading = math.floor((gap_max - engine.stride * step) / chunk)
         return max(0, engine.stride - reading) * step
@@ -103,29 +107,29 @@
         self._running = running
         self._costs: dict[int, tuple[float, float, float]] = {}
 
-    def read(self, kept: int, running: int, speed: float) -> float:
+    def prefill_seconds(self, kept: int, running: int, speed: float) -> float:
         """Return the time to read what is not kept, beside so many streams."""
-        read, steps, _ = self._find(kept)
+        read, steps, _ = self._estimate(kept)
         model = self._model
-        step = model.step_seconds + model.step_run_seconds * running
+        step = model.step_seconds + model.step_seconds_per_run * running
         return (read + steps * step) * speed
 
-    def pause(self, kept: int, speed: float) -> float:
+    def gap_seconds(self, kept: int, speed: float) -> float:
         """Return the longest pause that reading it causes in streams beside it."""
-        return self._find(kept)[2] * speed
+        return self._estimate(kept)[2] * speed
 
     def is_long(self, kept: int, speed: float) -> bool:
         """Whether reading it makes the streams beside it pause for too long."""
-        return self.pause(kept, speed) > self._gap_max
+        return self.gap_seconds(kept, speed) > self._gap_max
 
-    def _find(self, kept: int) -> tuple[float, float, float]:
+    def _estimate(self, kept: int) -> tuple[float, float, float]:
         """Return reading time, steps that it takes, and the pause that it causes."""
         found = self._costs.get(kept)
         if found is None:
             unread = max(0, self._tokens - kept)
             found = self._costs[kept] = (
-                self._model.read_seconds(unread, kept),
+                self._model.prefill_seconds(unread, kept),
                 unread / self._model.chunk_tokens,
-                self._model.gap_seconds(unread, kept, self._stride, self._running),
+                self._model.max_gap_seconds(unread, kept, self._stride, self._running),
             )
         return found
--- a/celeryspan/decisions/homes.py
+++ b/celeryspan/decisions/homes.py
@@ -28,7 +28,7 @@
 
 # Up to this many homes hear all demand of a service; above, a sample does.
 # Eight homes cost a waiting request 8 x 30 bytes; 440 homes would cost 13 KB.
-SAMPLE_ALL = 8
+MAX_UNSAMPLED_HOMES = 8
 
 # Homes in the sample of a larger service. A sample of d homes, renewed each time
 # that nothing is granted, finds a free slot in 1 - (1 - f)**d of the trials when a
@@ -36,7 +36,7 @@
 SAMPLE_SIZE = 8
 
 
-class Move(msgspec.Struct, frozen=True):
+class HomeChange(msgspec.Struct, frozen=True):
     """A backend server whose home changes."""
 
     server: ids.ServerId
@@ -44,7 +44,7 @@
     new: ids.RouterId | None
 
 
-def score(router: ids.RouterId, name: str) -> int:
+def rendezvous_weight(router: ids.RouterId, name: str) -> int:
     """Return the rendezvous weight of a router for a name."""
     return xxhash.xxh3_64_intdigest(f"{router}/{name}".encode())
 
@@ -53,10 +53,14 @@
     server: ids.ServerId, live: Iterable[ids.RouterId]
 ) -> ids.RouterId | None:
     """Return the live router with the highest score, or None if none is live."""
-    return max(live, key=lambda router: (score(router, server), router), default=None)
+    return max(
+        live,
+        key=lambda router: (rendezvous_weight(router, server), router),
+        default=None,
+    )
 
 
-def assign(
+def assign_homes(
     servers: Iterable[ids.ServerId], live: Collection[ids.RouterId]
 ) -> dict[ids.ServerId, ids.RouterId]:
     """Return the home of each backend server; empty if no router is live."""
@@ -66,18 +70,18 @@
     return {server: home for server, home in found.items() if home is not None}
 
 
-def compare(
+def find_changes(
     old: Mapping[ids.ServerId, ids.RouterId], new: Mapping[ids.ServerId, ids.RouterId]
-) -> tuple[Move, ...]:
+) -> tuple[HomeChange, ...]:
     """Return the servers whose home differs, in order of their names."""
     moved = (
-        Move(server, old.get(server), new.get(server))
+        HomeChange(server, old.get(server), new.get(server))
         for server in sorted(old.keys() | new.keys())
     )
     return tuple(move for move in moved if move.old != move.new)
 
 
-def sample(
+def sample_homes(
     homes: Collection[ids.RouterId],
     router: ids.RouterId,
     service: ids.ServiceId,
@@ -93,14 +97,14 @@
         Grows each time that the sample granted nothing for a while, so that demand
         reaches every home in the end: no home idles for good while work waits.
     """
-    if len(homes) <= SAMPLE_ALL:
+    if len(homes) <= MAX_UNSAMPLED_HOMES:
         return tuple(sorted(homes))
     name = f"{router}/{service}/{attempt}"
-    scored = ((score(home, name), home) for home in homes)
+    scored = ((rendezvous_weight(home, name), home) for home in homes)
     return tuple(home for _, home in heapq.nlargest(SAMPLE_SIZE, scored))
 
 
-def pick_first(
+def pick_first_home(
     homes: Mapping[ids.ServerId, ids.RouterId],
     router: ids.RouterId,
     service: ids.ServiceId,
--- a/celeryspan/decisions/limits.py
+++ b/celeryspan/decisions/limits.py
@@ -20,14 +20,14 @@
 from celeryspan import ids
 from celeryspan.decisions import pacing
 
-FLOOR = 1
+MIN_WINDOW = 1
 """Least window: one request at a time keeps the server observed."""
 
-INSIDE_SHARE = 0.1
+ENGINE_QUEUE_SHARE = 0.1
 """Requests that may wait inside the engine, as a share of its batch: one is there when
 another ends, and a report that shows them says that the batch is full."""
 
-GROWTH_SHARE = 0.25
+FIRST_GROWTH_SHARE = 0.25
 """First growth, as a share of the window; it doubles with each growth that follows
 without waiting inside the engine. Growing too far costs one lag of waiting there,
 since the next report says by how much; growing too slowly idles the server for many."""
@@ -35,16 +35,16 @@
 MAX_GROWTH_SHARE = 1.0
 """Greatest growth for one change."""
 
-SLOW_SHARE = 0.1
+SLOW_STREAM_CUT_SHARE = 0.1
 """Cut for one change when streams are slower than promised."""
 
-FAILURE_FACTOR = 0.7
+FAILURE_WINDOW_FACTOR = 0.7
 """Window kept when the server refuses or times out: no report says by how much."""
 
-TOKEN_SECONDS = 0.046
+MAX_TOKEN_SECONDS = 0.046
 """Seconds between two tokens that streams are promised."""
 
-MEMORY = 0.9
+DECAY = 0.9
 """Weight kept by earlier streams in the mean time between tokens."""
 
 
@@ -83,27 +83,27 @@
     """
 
     __slots__ = (
-        "_ceiling",
         "_changed_at",
-        "_floor",
+        "_full_at",
         "_growth",
-        "_limited_at",
+        "_max_size",
+        "_min_size",
         "_slow_at",
         "_token_seconds",
         "size",
     )
 
-    def __init__(self, ceiling: int, now: float, floor: int = FLOOR) -> None:
-        self._ceiling = ceiling
-        self._floor = floor
+    def __init__(self, max_size: int, now: float, min_size: int = MIN_WINDOW) -> None:
+        self._max_size = max_size
+        self._min_size = min_size
         self._changed_at = -math.inf
-        self._growth = GROWTH_SHARE
-        self._limited_at = now
+        self._growth = FIRST_GROWTH_SHARE
+        self._full_at = now
         self._slow_at = -math.inf
         self._token_seconds = 0.0
-        self.size = ceiling
+        self.size = max_size
 
-    def report(self, load: LoadReport, in_use: int, now: float) -> None:
+    def record_load(self, load: LoadReport, in_use: int, now: float) -> None:
         """Learn from a load report.
 
         Parameters
@@ -112,20 +112,20 @@
             Slots of the window in use now.
         """
         if in_use >= self.size:
-            self._limited_at = now
-        settled = self._changed_at + pacing.Loop.WINDOW.value.interval
+            self._full_at = now
+        settled = self._changed_at + pacing.FeedbackLoop.WINDOW.value.interval
         if load.as_of < settled:
             return
-        reserve = max(1, math.ceil(INSIDE_SHARE * load.running))
+        reserve = max(1, math.ceil(ENGINE_QUEUE_SHARE * load.running))
         excess = load.waiting - reserve
         if excess > 0:
-            self._growth = GROWTH_SHARE
+            self._growth = FIRST_GROWTH_SHARE
             self._resize(min(self.size, load.running + load.waiting) - excess, now)
         elif self._may_grow(load, now):
             self._resize(self.size + max(1, int(self._growth * self.size)), now)
             self._growth = min(MAX_GROWTH_SHARE, 2.0 * self._growth)
 
-    def answer(self, failed: bool, token_seconds: float | None, now: float) -> None:
+    def record_end(self, failed: bool, token_seconds: float | None, now: float) -> None:
         """Learn from the end of a request.
 
         Parameters
@@ -135,24 +135,26 @@
         token_seconds : float or None
             Mean seconds between two tokens of its stream.
         """
-        paced = now - self._changed_at >= pacing.Loop.WINDOW.value.interval
+        paced = now - self._changed_at >= pacing.FeedbackLoop.WINDOW.value.interval
         if failed:
             if paced:
-                self._resize(int(self.size * FAILURE_FACTOR), now)
+                self._resize(int(self.size * FAILURE_WINDOW_FACTOR), now)
             return
         if token_seconds is None:
             return
         if not self._token_seconds:
             self._token_seconds = token_seconds
-        self._token_seconds += (token_seconds - self._token_seconds) * (1.0 - MEMORY)
-        if self._token_seconds > TOKEN_SECONDS:
+        self._token_seconds += (token_seconds - self._token_seconds) * (1.0 - DECAY)
+        if self._token_seconds > MAX_TOKEN_SECONDS:
             self._slow_at = now
-            if paced and now - self._changed_at >= self._stream_pace():
-                self._resize(self.size - max(1, int(SLOW_SHARE * self.size)), now)
+            if paced and now - self._changed_at >= self._stream_interval():
+                self._resize(
+                    self.size - max(1, int(SLOW_STREAM_CUT_SHARE * self.size)), now
+                )
 
-    def _stream_pace(self) -> float:
+    def _stream_interval(self) -> float:
         """Seconds after which the mean shows a change: the streams must be new ones."""
-        return 5.0 * pacing.Loop.WINDOW.value.interval
+        return 5.0 * pacing.FeedbackLoop.WINDOW.value.interval
 
     def _may_grow(self, load: LoadReport, now: float) -> bool:
         """Grow only a window that is in use, at a server whose streams keep up.
@@ -160,12 +162,12 @@
         A window that is not in use has shown nothing; grown, it would let a burst in
         that the engine has never been seen to bear.
         """
-        limited = now - self._limited_at <= now - load.as_of + 1.0
-        slow = now - self._slow_at <= 4.0 * self._stream_pace()
+        limited = now - self._full_at <= now - load.as_of + 1.0
+        slow = now - self._slow_at <= 4.0 * self._stream_interval()
         return limited and not slow and load.waiting == 0
 
     def _resize(self, size: int, now: float) -> None:
-        size = max(self._floor, min(self._ceiling, size))
+        size = max(self._min_size, min(self._max_size, size))
         if size != self.size:
             self.size = size
             self._changed_at = now
@@ -177,11 +179,11 @@
     def __init__(self) -> None:
         self._windows: dict[ids.ServerId, Window] = {}
 
-    def find(self, server: ids.ServerId, ceiling: int, now: float) -> Window:
+    def find(self, server: ids.ServerId, max_size: int, now: float) -> Window:
         """Return the window of a server; a new one starts at its ceiling."""
         window = self._windows.get(server)
         if window is None:
-            window = self._windows[server] = Window(ceiling, now)
+            window = self._windows[server] = Window(max_size, now)
         return window
 
     def forget(self, server: ids.ServerId) -> None:
--- a/celeryspan/decisions/loading.py
+++ b/celeryspan/decisions/loading.py
@@ -16,21 +16,21 @@
 
 import msgspec
 
-LOAD_SECONDS = 10.0
+LOAD_INTERVAL_SECONDS = 10.0
 """Least time between the beginnings of two loads."""
 
-LOADING_MAX = 2
+MAX_CONCURRENT_LOADS = 2
 """Loads under way at once over the fleet, as far as engines have reported them."""
 
 
-class Kind(enum.Enum):
+class OrderKind(enum.Enum):
     """Kind of an order."""
 
     LOAD = "load"
     ROLE = "role"
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class DesiredState(msgspec.Struct, frozen=True):
     """What an engine should have loaded and be; empty texts are no wish."""
 
     model: str
@@ -50,20 +50,20 @@
     loading: bool
 
 
-def choose_order(wanted: Wanted, state: EngineState) -> Kind | None:
+def choose_order(wanted: DesiredState, state: EngineState) -> OrderKind | None:
     """Return the order that brings an engine closer to what is wanted, or None."""
     if not wanted.model or state.loading:
         return None
     if state.model != wanted.model or set(state.adapters) != set(wanted.adapters):
-        return Kind.LOAD
+        return OrderKind.LOAD
     if wanted.version and state.version != wanted.version:
-        return Kind.LOAD
+        return OrderKind.LOAD
     if wanted.role and state.role != wanted.role:
-        return Kind.ROLE
+        return OrderKind.ROLE
     return None
 
 
-class LoadLimit:
+class LoadLimiter:
     """Admits loads at the rate that the weight store bears.
 
     Parameters
@@ -74,20 +74,20 @@
     """
 
     def __init__(self, now: float) -> None:
-        self._next_at = now + LOAD_SECONDS
+        self._next_at = now + LOAD_INTERVAL_SECONDS
         self._loading: set[str] = set()
 
-    def note(self, server: str, *, loading: bool) -> None:
+    def update(self, server: str, *, loading: bool) -> None:
         """Note what an engine reports."""
         if loading:
             self._loading.add(server)
         else:
             self._loading.discard(server)
 
-    def take(self, server: str, now: float) -> bool:
+    def try_begin(self, server: str, now: float) -> bool:
         """Take leave to begin one load, if there is any."""
-        if now < self._next_at or len(self._loading) >= LOADING_MAX:
+        if now < self._next_at or len(self._loading) >= MAX_CONCURRENT_LOADS:
             return False
-        self._next_at = now + LOAD_SECONDS
+        self._next_at = now + LOAD_INTERVAL_SECONDS
         self._loading.add(server)
         return True
--- a/celeryspan/decisions/migration.py
+++ b/celeryspan/decisions/migration.py
@@ -14,21 +14,21 @@
 from celeryspan import catalog
 from celeryspan.decisions import poolservers
 
-EVENTS_MIN = 3
+MIN_EVENTS = 3
 """A run of which fewer events are expected ends before it is worth a copy."""
 
-PENDING_WEIGHT = 1.0
-RUN_WEIGHT = 0.004
+PENDING_SECOND_COST = 1.0
+RUN_COST_SECONDS = 0.004
 """What a second of pending reading and a run in progress count for at a target: one run
 more makes each step of all the others 0.08 ms longer, some 50 steps in all."""
 
-OTHER_PLACE_SECONDS = 0.02
+OTHER_DATA_CENTRE_COST_SECONDS = 0.02
 """What another data centre counts for: a copy takes twice as long there."""
 
 
-def pays(engine: catalog.Engine, output_tokens: int) -> bool:
+def is_worth_moving(engine: catalog.Engine, output_tokens: int) -> bool:
     """Whether a run that is expected to make so many tokens is worth a copy."""
-    return engine.moves and output_tokens >= EVENTS_MIN * engine.stride
+    return engine.moves and output_tokens >= MIN_EVENTS * engine.stride
 
 
 def choose_target(
@@ -46,9 +46,9 @@
     def cost(server: poolservers.PoolServer) -> float:
         is_near = server.entry.data_centre == source.entry.data_centre
         return (
-            PENDING_WEIGHT * server.pending(now)
-            + RUN_WEIGHT * len(server.runs) * server.speed
-            + (0.0 if is_near else OTHER_PLACE_SECONDS)
+            PENDING_SECOND_COST * server.pending(now)
+            + RUN_COST_SECONDS * len(server.runs) * server.speed
+            + (0.0 if is_near else OTHER_DATA_CENTRE_COST_SECONDS)
         )
 
     return min(fit, key=cost, default=None)
--- a/celeryspan/decisions/outages.py
+++ b/celeryspan/decisions/outages.py
@@ -16,21 +16,21 @@
 
 import msgspec
 
-RATE = 1.0
+CALLS_PER_SECOND = 1.0
 """Background calls a second that one router may make for long: 1,300 of them stay
 under the two thousand reads a second that the store takes."""
 
-BURST = 20.0
+BURST_CALLS = 20.0
 """Calls that a router may make at once: a start reads index, chunks and members."""
 
-DELAY_FIRST = 0.2
+FIRST_DELAY_MAX_SECONDS = 0.2
 """Greatest wait after a first failure, in seconds: a lost packet costs no more."""
 
-DELAY_MAX = 15.0
+DELAY_MAX_SECONDS = 15.0
 """Greatest wait between two attempts of one router, in seconds."""
 
 
-class Budget(msgspec.Struct):
+class CallBudget(msgspec.Struct):
     """Token bucket of the calls of one router.
 
     Attributes
@@ -41,25 +41,25 @@
         Greatest number of calls saved up.
     """
 
-    rate: float = RATE
-    burst: float = BURST
-    _saved: float = -1.0
-    _since: float = 0.0
+    rate: float = CALLS_PER_SECOND
+    burst: float = BURST_CALLS
+    _tokens: float = -1.0
+    _refilled_at: float = 0.0
 
     def take(self, now: float) -> bool:
         """Take one call if one is left."""
-        if self._saved < 0:
-            self._saved, self._since = self.burst, now
-        elapsed = max(0.0, now - self._since)
-        self._saved = min(self.burst, self._saved + elapsed * self.rate)
-        self._since = now
-        if self._saved < 1.0:
+        if self._tokens < 0:
+            self._tokens, self._refilled_at = self.burst, now
+        elapsed = max(0.0, now - self._refilled_at)
+        self._tokens = min(self.burst, self._tokens + elapsed * self.rate)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
 
-class Breaker(msgspec.Struct):
+class CircuitBreaker(msgspec.Struct):
     """Holds calls back while the store does not answer.
 
     One call after each wait goes through to try the store; all others are refused at
@@ -73,35 +73,37 @@
     """
 
     failures: int = 0
-    _closed_until: float = 0.0
+    _open_until: float = 0.0
 
-    def admits(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Whether a call may be sent; while failing, reserves the one attempt."""
         if self.failures == 0:
             return True
-        if now < self._closed_until:
+        if now < self._open_until:
             return False
-        self._closed_until = now + delay_bound(self.failures)
+        self._open_until = now + max_delay(self.failures)
         return True
 
-    def succeed(self) -> bool:
+    def record_success(self) -> bool:
         """Note an answer; returns whether this ends an outage."""
         ended = self.failures > 0
         self.failures = 0
         return ended
 
-    def fail(self, now: float, generator: random.Random) -> bool:
+    def record_failure(self, now: float, generator: random.Random) -> bool:
         """Note a missing answer; returns whether this begins an outage."""
         self.failures += 1
-        self._closed_until = now + draw_delay(self.failures, generator)
+        self._open_until = now + draw_delay(self.failures, generator)
         return self.failures == 1
 
 
-def delay_bound(failures: int) -> float:
+def max_delay(failures: int) -> float:
     """Return the greatest wait after a number of failures in a row, in seconds."""
-    return min(DELAY_MAX, DELAY_FIRST * 2.0 ** min(failures - 1, 16))
+    return min(
+        DELAY_MAX_SECONDS, FIRST_DELAY_MAX_SECONDS * 2.0 ** min(failures - 1, 16)
+    )
 
 
 def draw_delay(failures: int, generator: random.Random) -> float:
     """Draw the wait after a number of failures in a row, in seconds."""
-    return generator.uniform(0.0, delay_bound(failures))
+    return generator.uniform(0.0, max_delay(failures))
--- a/celeryspan/decisions/outcomes.py
+++ b/celeryspan/decisions/outcomes.py
@@ -18,11 +18,11 @@
 _State = states.RequestState
 
 
-class IllegalStep(Exception):
+class IllegalTransition(Exception):
     """A step was asked for that would break the rule; nothing was changed."""
 
 
-class Progress:
+class RequestProgress:
     """How far one request has come.
 
     Steps are called before the action that they stand for, so that a fault in the
@@ -43,7 +43,7 @@
         self.state = _State.QUEUED
         self.sends = 0
         self.exposed = False
-        self._exposed_before = False
+        self._exposed_before_send = False
         self._ran = False
 
     @property
@@ -60,42 +60,44 @@
 
     def grant(self) -> None:
         """Note that a slot was given."""
-        self._move({_State.QUEUED}, _State.GRANTED)
+        self._transition({_State.QUEUED}, _State.GRANTED)
 
     def release(self) -> None:
         """Note that the slot goes back unused: nothing was written."""
-        self._move({_State.GRANTED}, _State.QUEUED)
+        self._transition({_State.GRANTED}, _State.QUEUED)
 
     def send(self) -> None:
         """Note that the first byte leaves now."""
         if not self.may_send:
-            raise IllegalStep("a request that may have run must not be sent again")
-        self._move({_State.GRANTED}, _State.SENT)
+            raise IllegalTransition(
+                "a request that may have run must not be sent again"
+            )
+        self._transition({_State.GRANTED}, _State.SENT)
         self.sends += 1
-        self._exposed_before = self.exposed
+        self._exposed_before_send = self.exposed
         self.exposed = True
 
-    def decline(self) -> None:
+    def record_decline(self) -> None:
         """Note that the server says it did not run what was last sent.
 
         What an earlier send may have done stays unknown.
         """
-        self._move({_State.SENT}, _State.QUEUED)
-        self.exposed = self._exposed_before
+        self._transition({_State.SENT}, _State.QUEUED)
+        self.exposed = self._exposed_before_send
 
-    def lose(self) -> None:
+    def record_connection_loss(self) -> None:
         """Note that the connection failed before it was known that the server ran."""
         if self._ran:
-            raise IllegalStep("an answer that proves the run can't be taken back")
-        self._move({_State.SENT, _State.ANSWERING}, _State.QUEUED)
+            raise IllegalTransition("an answer that proves the run can't be taken back")
+        self._transition({_State.SENT, _State.ANSWERING}, _State.QUEUED)
 
     def answer(self) -> None:
         """Note that the first bytes of an answer are here."""
-        self._move({_State.SENT}, _State.ANSWERING)
+        self._transition({_State.SENT}, _State.ANSWERING)
 
     def confirm(self) -> None:
         """Note that the answer proves the run: it is whole, or holds tokens."""
-        self._move({_State.ANSWERING}, _State.ANSWERING)
+        self._transition({_State.ANSWERING}, _State.ANSWERING)
         self._ran = True
 
     def settle(self) -> states.Outcome:
@@ -103,7 +105,9 @@
         self.state = _State.SETTLED
         return self.outcome
 
-    def _move(self, sources: set[states.RequestState], to: states.RequestState) -> None:
+    def _transition(
+        self, sources: set[states.RequestState], to: states.RequestState
+    ) -> None:
         if self.state not in sources:
-            raise IllegalStep(f"no way from {self.state.value} to {to.value}")
+            raise IllegalTransition(f"no way from {self.state.value} to {to.value}")
         self.state = to
--- a/celeryspan/decisions/outliers.py
+++ b/celeryspan/decisions/outliers.py
@@ -22,14 +22,14 @@
 from celeryspan import ids
 from celeryspan.decisions import pacing
 
-FAILURES_IN_ROW = 5
+MAX_CONSECUTIVE_FAILURES = 5
 """Failures that eject a server: with one in ten requests failing by chance, five in a
 row come once in 100,000 requests."""
 
-FAILURE_SHARE = 0.5
+MAX_FAILURE_SHARE = 0.5
 """Share of recent requests that failed, above which a server is ejected."""
 
-SLOW_FACTOR = 3.0
+MAX_SLOWNESS_FACTOR = 3.0
 """Seconds per cost unit over the median of the service that eject a server."""
 
 MIN_SAMPLES = 10
@@ -39,17 +39,17 @@
 """Sum of the ages of running requests before their speed counts: a server ten times too
 slow ends its tenth request after minutes, but shows within a second with 16 running."""
 
-MEMORY = 0.9
+DECAY = 0.9
 """Weight kept by earlier requests at each new one: about ten requests count."""
 
-KEPT_SHARE = 0.5
+MIN_ACTIVE_SHARE = 0.5
 """Share of a service's servers that is never ejected: one half carries the load at
 twice the wait, a third would be overloaded and look slow in turn."""
 
-EJECT_SECONDS = 10.0
+FIRST_EJECTION_SECONDS = 10.0
 """First ejection; doubles with each that follows."""
 
-MAX_EJECT_SECONDS = 300.0
+MAX_EJECTION_SECONDS = 300.0
 """Longest ejection: a repaired server is back within five minutes."""
 
 TRIAL_ANSWERS = 3
@@ -72,59 +72,63 @@
     reason: str
 
 
-class _Server(msgspec.Struct):
+class _ServerStats(msgspec.Struct):
     standing: Standing = Standing.GOOD
     samples: float = 0.0
     failures: float = 0.0
-    in_row: int = 0
+    consecutive_failures: int = 0
     seconds: float = 0.0
     units: float = 0.0
-    until: float = 0.0
+    ejected_until: float = 0.0
     ejections: int = 0
     trial_answers: int = 0
     running_seconds: float = 0.0
     running_units: float = 0.0
 
-    def learn(self, failed: bool, seconds: float, cost: float) -> None:
-        self.samples = self.samples * MEMORY + 1.0
-        self.failures = self.failures * MEMORY + failed
-        self.in_row = self.in_row + 1 if failed else 0
+    def record(self, failed: bool, seconds: float, cost: float) -> None:
+        self.samples = self.samples * DECAY + 1.0
+        self.failures = self.failures * DECAY + failed
+        self.consecutive_failures = self.consecutive_failures + 1 if failed else 0
         if not failed:
-            self.seconds = self.seconds * MEMORY + seconds
-            self.units = self.units * MEMORY + cost
+            self.seconds = self.seconds * DECAY + seconds
+            self.units = self.units * DECAY + cost
 
-    def forget_samples(self) -> None:
+    def reset(self) -> None:
         self.samples = self.failures = self.seconds = self.units = 0.0
         self.running_seconds = self.running_units = 0.0
-        self.in_row = self.trial_answers = 0
+        self.consecutive_failures = self.trial_answers = 0
 
     @property
-    def known(self) -> bool:
+    def has_enough_samples(self) -> bool:
         """Enough samples: the decayed count tends to ``1 / (1 - MEMORY)``."""
-        return self.samples >= (1.0 - MEMORY**MIN_SAMPLES) / (1.0 - MEMORY) * 0.99
+        return self.samples >= (1.0 - DECAY**MIN_SAMPLES) / (1.0 - DECAY) * 0.99
 
-    def ended_speed(self) -> float | None:
+    def ended_seconds_per_unit(self) -> float | None:
         """Return seconds per cost unit of ended requests, if enough have ended."""
-        return self.seconds / self.units if self.known and self.units else None
+        return (
+            self.seconds / self.units
+            if self.has_enough_samples and self.units
+            else None
+        )
 
-    def running_speed(self) -> float | None:
+    def running_seconds_per_unit(self) -> float | None:
         """Return seconds per cost unit of running requests, if they run long enough."""
         if self.running_seconds < MIN_RUNNING_SECONDS or not self.running_units:
             return None
         return self.running_seconds / self.running_units
 
 
-class Outliers:
+class OutlierDetector:
     """Judges the servers of one service by their answers."""
 
     def __init__(self) -> None:
-        self._servers: dict[ids.ServerId, _Server] = {}
-        self._pacer = pacing.Pacer(pacing.Loop.EJECTION.value)
-        self._trials = pacing.Pacer(pacing.Loop.READMISSION.value)
+        self._servers: dict[ids.ServerId, _ServerStats] = {}
+        self._ejection_limiter = pacing.RateLimiter(pacing.FeedbackLoop.EJECTION.value)
+        self._trial_limiter = pacing.RateLimiter(pacing.FeedbackLoop.READMISSION.value)
 
     def add(self, server: ids.ServerId, now: float) -> None:
         """Begin to judge a server."""
-        self._servers.setdefault(server, _Server())
+        self._servers.setdefault(server, _ServerStats())
 
     def remove(self, server: ids.ServerId) -> None:
         """Forget a server that is gone."""
@@ -154,13 +158,13 @@
             True cost in cost units: slowness is seconds per unit, so that a server is
             not blamed for long jobs.
         """
-        one = self._servers.setdefault(server, _Server())
-        one.learn(failed, seconds, cost)
+        one = self._servers.setdefault(server, _ServerStats())
+        one.record(failed, seconds, cost)
         if one.standing is Standing.TRIAL:
-            return self._judge_trial(server, one, failed, now)
-        return self._judge(server, one, now)
+            return self._update_trial(server, one, failed, now)
+        return self._eject_if_faulty(server, one, now)
 
-    def observe(
+    def record_running(
         self, server: ids.ServerId, seconds: float, units: float, now: float
     ) -> list[Change]:
         """Take in what runs at a server; return changes that follow.
@@ -176,28 +180,30 @@
         units : float
             Sum of the cost units that they have given so far; 0 for plain calls.
         """
-        one = self._servers.setdefault(server, _Server())
+        one = self._servers.setdefault(server, _ServerStats())
         one.running_seconds, one.running_units = seconds, units
         if one.standing is not Standing.GOOD:
             return []
-        return self._judge(server, one, now)
+        return self._eject_if_faulty(server, one, now)
 
-    def _judge(self, server: ids.ServerId, one: _Server, now: float) -> list[Change]:
-        reason = self._find_fault(server, one)
+    def _eject_if_faulty(
+        self, server: ids.ServerId, one: _ServerStats, now: float
+    ) -> list[Change]:
+        reason = self._find_ejection_reason(server, one)
         if one.standing is Standing.EJECTED or reason is None:
             return []
         if not self._may_eject(now):
             return []
         return [self._eject(server, one, reason, now)]
 
-    def evaluate(self, now: float) -> list[Change]:
+    def start_due_trials(self, now: float) -> list[Change]:
         """Return changes that are due by time: trials after an ejection."""
         changes = []
         for server, one in self._servers.items():
-            due = one.standing is Standing.EJECTED and now >= one.until
-            if due and self._trials.allow("service", now):
+            due = one.standing is Standing.EJECTED and now >= one.ejected_until
+            if due and self._trial_limiter.allow("service", now):
                 one.standing = Standing.TRIAL
-                one.forget_samples()
+                one.reset()
                 changes.append(Change(server, Standing.TRIAL, "time is over"))
         return changes
 
@@ -213,21 +219,27 @@
             return 0
         return min(window, 1) if standing is Standing.TRIAL else window
 
-    def _find_fault(self, server: ids.ServerId, one: _Server) -> str | None:
-        if one.in_row >= FAILURES_IN_ROW:
-            return f"{one.in_row} failures in a row"
-        if one.known and one.failures > FAILURE_SHARE * one.samples:
+    def _find_ejection_reason(
+        self, server: ids.ServerId, one: _ServerStats
+    ) -> str | None:
+        if one.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+            return f"{one.consecutive_failures} failures in a row"
+        if one.has_enough_samples and one.failures > MAX_FAILURE_SHARE * one.samples:
             return "more than half of its requests failed"
         if self._is_slow(server, one):
             return "far slower than its peers"
         return None
 
-    def _is_slow(self, server: ids.ServerId, one: _Server) -> bool:
+    def _is_slow(self, server: ids.ServerId, one: _ServerStats) -> bool:
         """Compare with the median of the others, which one slow server cannot move."""
         peers = [peer for name, peer in self._servers.items() if name != server]
         return _is_outlier(
-            one.ended_speed(), [peer.ended_speed() for peer in peers]
-        ) or _is_outlier(one.running_speed(), [peer.running_speed() for peer in peers])
+            one.ended_seconds_per_unit(),
+            [peer.ended_seconds_per_unit() for peer in peers],
+        ) or _is_outlier(
+            one.running_seconds_per_unit(),
+            [peer.running_seconds_per_unit() for peer in peers],
+        )
 
     def _may_eject(self, now: float) -> bool:
         """Keep half of a service whatever its servers answer.
@@ -236,21 +248,21 @@
         partial failure into a whole one.
         """
         out = sum(one.standing is not Standing.GOOD for one in self._servers.values())
-        if len(self._servers) - out - 1 < KEPT_SHARE * len(self._servers):
+        if len(self._servers) - out - 1 < MIN_ACTIVE_SHARE * len(self._servers):
             return False
-        return self._pacer.allow("service", now)
+        return self._ejection_limiter.allow("service", now)
 
     def _eject(
-        self, server: ids.ServerId, one: _Server, reason: str, now: float
+        self, server: ids.ServerId, one: _ServerStats, reason: str, now: float
     ) -> Change:
-        seconds = min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0**one.ejections)
+        seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2.0**one.ejections)
         one.ejections += 1
         one.standing = Standing.EJECTED
-        one.until = now + seconds
+        one.ejected_until = now + seconds
         return Change(server, Standing.EJECTED, reason)
 
-    def _judge_trial(
-        self, server: ids.ServerId, one: _Server, failed: bool, now: float
+    def _update_trial(
+        self, server: ids.ServerId, one: _ServerStats, failed: bool, now: float
     ) -> list[Change]:
         if failed or self._is_slow(server, one):
             return [self._eject(server, one, "failed its trial", now)]
@@ -266,4 +278,4 @@
     known = [one for one in others if one is not None]
     if mine is None or not known:
         return False
-    return mine > SLOW_FACTOR * statistics.median(known)
+    return mine > MAX_SLOWNESS_FACTOR * statistics.median(known)
--- a/celeryspan/decisions/pacing.py
+++ b/celeryspan/decisions/pacing.py
@@ -18,7 +18,7 @@
 import msgspec
 
 
-class Pace(msgspec.Struct, frozen=True):
+class RateLimit(msgspec.Struct, frozen=True):
     """Rate limit of one loop.
 
     Attributes
@@ -33,35 +33,35 @@
     burst: int = 1
 
 
-class Loop(enum.Enum):
+class FeedbackLoop(enum.Enum):
     """The feedback loops of a router, with their rate limits."""
 
-    WINDOW = Pace(1.0)
+    WINDOW = RateLimit(1.0)
     """Window of a server; the report's own lag is added to it."""
 
-    EJECTION = Pace(5.0, burst=2)
+    EJECTION = RateLimit(5.0, burst=2)
     """Ejections in one service: a failure of the network path shows at all servers at
     once, two at a time leave the time to see that it is not the servers."""
 
-    READMISSION = Pace(1.0)
+    READMISSION = RateLimit(1.0)
     """Trials in one service: each takes a real request."""
 
-    AFFINITY = Pace(2.0)
+    AFFINITY = RateLimit(2.0)
     """Moves of a hot prefix to one more server: the lag of cache events."""
 
 
-class Pacer:
+class RateLimiter:
     """Token buckets of one loop, one for each key."""
 
-    def __init__(self, pace: Pace) -> None:
-        self._pace = pace
+    def __init__(self, limit: RateLimit) -> None:
+        self._limit = limit
         self._buckets: dict[object, tuple[float, float]] = {}
 
     def allow(self, key: object, now: float) -> bool:
         """Take leave to change ``key`` now; False if it changed too recently."""
-        tokens, at = self._buckets.get(key, (float(self._pace.burst), now))
+        tokens, at = self._buckets.get(key, (float(self._limit.burst), now))
         tokens = min(
-            float(self._pace.burst), tokens + max(0.0, now - at) / self._pace.interval
+            float(self._limit.burst), tokens + max(0.0, now - at) / self._limit.interval
         )
         if tokens < 1.0:
             self._buckets[key] = (tokens, max(at, now))
--- a/celeryspan/decisions/placement.py
+++ b/celeryspan/decisions/placement.py
@@ -25,20 +25,20 @@
 
 from celeryspan import ids
 
-STEADY_SECONDS = 20.0
+MIN_PRESSURE_SECONDS = 20.0
 """How long pressure must last; bursts of a few seconds are what queues are for."""
 
-MOVE_SECONDS = 60.0
+MOVE_INTERVAL_SECONDS = 60.0
 """Least time between two moves of the fleet: the stated limit, 60 an hour."""
 
-REST_SECONDS = 600.0
+SERVER_COOLDOWN_SECONDS = 600.0
 """Least time between two moves of one server: six an hour at most."""
 
-SPARE_PART = 0.3
+MIN_FREE_SHARE = 0.3
 """Part of the giver's slots that must stay free after the move. A server taken from a
 service that is nearly full would only make work wait there instead."""
 
-WAITING_PER_SLOT = 0.5
+STARVED_WAITING_PER_SLOT = 0.5
 """Work waits for want of servers if more than this many requests wait for each slot."""
 
 
@@ -60,17 +60,21 @@
     slots: int
 
     @property
-    def starved(self) -> bool:
+    def is_starved(self) -> bool:
         """Whether work waits for want of servers."""
-        return self.waiting > 0 and self.waiting >= self.slots * WAITING_PER_SLOT
+        return (
+            self.waiting > 0 and self.waiting >= self.slots * STARVED_WAITING_PER_SLOT
+        )
 
     def can_spare(self, slots: int) -> bool:
         """Whether the service is well without so many of its slots."""
         left = self.slots - slots
-        return self.waiting == 0 and left > 0 and self.busy <= left * (1 - SPARE_PART)
+        return (
+            self.waiting == 0 and left > 0 and self.busy <= left * (1 - MIN_FREE_SHARE)
+        )
 
 
-class Placed(msgspec.Struct, frozen=True):
+class PlacedServer(msgspec.Struct, frozen=True):
     """A model server as it is placed now."""
 
     service: ids.ServiceId
@@ -81,22 +85,22 @@
     """Let a server load the model of another service."""
 
     server: ids.ServerId
-    giver: ids.ServiceId
-    taker: ids.ServiceId
+    source: ids.ServiceId
+    target: ids.ServiceId
 
 
-class Placement:
+class PlacementPlanner:
     """Judges the pressure on the services of one fleet."""
 
     def __init__(self) -> None:
-        self._since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
-        self._moved_at: dict[ids.ServerId, float] = {}
-        self._last_move = -math.inf
+        self._wanted_since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
+        self._last_moves: dict[ids.ServerId, float] = {}
+        self._last_fleet_move = -math.inf
 
-    def choose(
+    def choose_move(
         self,
         pressures: Mapping[ids.ServiceId, Pressure],
-        servers: Mapping[ids.ServerId, Placed],
+        servers: Mapping[ids.ServerId, PlacedServer],
         now: float,
     ) -> Move | None:
         """Return the move to make now, or None.
@@ -106,28 +110,31 @@
         servers : mapping
             Model servers that are neither leaving nor loading.
         """
-        wanted = self._list_wanted(pressures, servers, now)
-        self._follow(wanted, now)
-        if now - self._last_move < MOVE_SECONDS:
+        wanted = self._find_candidates(pressures, servers, now)
+        self._track_candidates(wanted, now)
+        if now - self._last_fleet_move < MOVE_INTERVAL_SECONDS:
             return None
         for move in wanted.values():
-            if now - self._since[move.giver, move.taker] >= STEADY_SECONDS:
+            if (
+                now - self._wanted_since[move.source, move.target]
+                >= MIN_PRESSURE_SECONDS
+            ):
                 return move
         return None
 
-    def note_move(self, server: ids.ServerId, now: float) -> None:
+    def record_move(self, server: ids.ServerId, now: float) -> None:
         """Note a move, also one that another holder of the duty has made."""
-        self._moved_at[server] = self._last_move = now
-        self._since.clear()
+        self._last_moves[server] = self._last_fleet_move = now
+        self._wanted_since.clear()
 
-    def _list_wanted(
+    def _find_candidates(
         self,
         pressures: Mapping[ids.ServiceId, Pressure],
-        servers: Mapping[ids.ServerId, Placed],
+        servers: Mapping[ids.ServerId, PlacedServer],
         now: float,
     ) -> dict[tuple[ids.ServiceId, ids.ServiceId], Move]:
         starved = sorted(
-            (name for name, pressure in pressures.items() if pressure.starved),
+            (name for name, pressure in pressures.items() if pressure.is_starved),
             key=lambda name: -pressures[name].waiting,
         )
         wanted: dict[tuple[ids.ServiceId, ids.ServiceId], Move] = {}
@@ -137,13 +144,18 @@
                 pressure = pressures.get(placed.service)
                 if pressure is None or pair in wanted or placed.service == taker:
                     continue
-                rested = now - self._moved_at.get(server, -math.inf) >= REST_SECONDS
+                rested = (
+                    now - self._last_moves.get(server, -math.inf)
+                    >= SERVER_COOLDOWN_SECONDS
+                )
                 if rested and pressure.can_spare(placed.slots):
                     wanted[pair] = Move(server, placed.service, taker)
         return wanted
 
-    def _follow(
+    def _track_candidates(
         self, wanted: Mapping[tuple[ids.ServiceId, ids.ServiceId], Move], now: float
     ) -> None:
         """Remember since when each move has been wanted without a break."""
-        self._since = {pair: self._since.get(pair, now) for pair in wanted}
+        self._wanted_since = {
+            pair: self._wanted_since.get(pair, now) for pair in wanted
+        }
--- a/celeryspan/decisions/placing.py
+++ b/celeryspan/decisions/placing.py
@@ -158,7 +158,7 @@
             self._servers[entry.server] = server
         self._by_order = sorted(self._servers.values(), key=lambda each: each.order)
         self._slots = sum(entry.slots for entry in entries)
-        self._rest = self._model.rest_seconds(engine) if engine else 0.0
+        self._rest = self._model.prefill_pause_seconds(engine) if engine else 0.0
         self._left = {name: server for name, server in known.items() if server.runs}
 
     def is_hopeless(self, ask: messages.SlotRequest) -> bool:
@@ -202,8 +202,8 @@
         if self._engine is None:
             return
         kept = self._find_most_kept(ask)
-        pause = self._make_prompt(ask).pause(kept, 1.0)
-        read = self._model.read_seconds(ask.prompt_tokens - kept, kept)
+        pause = self._make_prompt(ask).gap_seconds(kept, 1.0)
+        read = self._model.prefill_seconds(ask.prompt_tokens - kept, kept)
         self._long.note_arrival(pause, _limit_pause(ask), read, now)
 
     def is_long(self, ask: messages.SlotRequest) -> bool:
@@ -293,14 +293,16 @@
         kept, fetch, source = self._count_kept(ask, server, self._find_keeper(ask, now))
         read = 0.0
         if self._engine is not None:
-            read = self._make_prompt(ask).read(kept, len(server.runs), server.speed)
+            read = self._make_prompt(ask).prefill_seconds(
+                kept, len(server.runs), server.speed
+            )
             read += fetch
         pending = server.pending(now)
         read_until = max(now, server.read_until) + read
-        due_at = read_until + self._model.first_seconds
+        due_at = read_until + self._model.first_event_seconds
         pause = 0.0
         if self._engine is not None:
-            pause = self._make_prompt(ask).pause(kept, server.speed)
+            pause = self._make_prompt(ask).gap_seconds(kept, server.speed)
         limit = _limit_pause(ask)
         run = poolservers.Run(
             router=router,
@@ -349,7 +351,7 @@
         if server is None:
             return
         readings = server.readings
-        server.begin(request, self._model.first_seconds, now)
+        server.begin(request, self._model.first_event_seconds, now)
         if server.readings != readings:
             self._spread_speed()
 
@@ -373,7 +375,7 @@
         run = source.runs.get(request) if source else None
         if run is None or self._engine is None or not run.is_long or run.isolation:
             return None
-        if not migration.pays(self._engine, run.output_tokens):
+        if not migration.is_worth_moving(self._engine, run.output_tokens):
             return None
         apart = self._by_order[: self.count_apart()]
         if source not in apart:
@@ -477,7 +479,7 @@
         """
         if self._engine is None:
             return poolservers.CALL_SECONDS
-        return self._model.read_seconds(ask.prompt_tokens, 0)
+        return self._model.prefill_seconds(ask.prompt_tokens, 0)
 
     def estimate_wait(self, work: float) -> float:
         """Return the time in which so much work will have been placed, in seconds."""
@@ -493,7 +495,9 @@
             return poolservers.CALL_SECONDS
         kept = self._find_most_kept(ask)
         unread = max(0, ask.prompt_tokens - kept)
-        return self._model.first_seconds + self._model.read_seconds(unread, kept)
+        return self._model.first_event_seconds + self._model.prefill_seconds(
+            unread, kept
+        )
 
     def count_apart(self) -> int:
         """Return how many engines are set apart for long prompts."""
@@ -566,7 +570,7 @@
                 kept, fetch, _ = self._count_kept(ask, server, keeper)
                 if prompt.is_long(kept, server.speed) is not is_long:
                     continue
-                read = prompt.read(kept, len(server.runs), server.speed)
+                read = prompt.prefill_seconds(kept, len(server.runs), server.speed)
                 option = self._weigh(ask, server, read, fetch, is_long, now)
                 best = min(best, option)
                 ready = min(ready, option) if option.is_ready else ready
@@ -608,7 +612,7 @@
         burst = server.measure_burst(self._rest, now)
         if burst <= 0.0 and pending <= 0.0:
             return True
-        steps = self._model.gap_seconds(0, 0, ask.stride, len(server.runs))
+        steps = self._model.max_gap_seconds(0, 0, ask.stride, len(server.runs))
         longest = _limit_pause(ask) - steps * server.speed
         is_soon = pending <= 0.0 or pending + read <= poolservers.PENDING_SECONDS
         return is_soon and burst + read <= longest
--- a/celeryspan/decisions/preemption.py
+++ b/celeryspan/decisions/preemption.py
@@ -24,11 +24,11 @@
 
 # Part of the cost of streamed tokens that computing them again takes: engines read
 # prompts about ten times as fast as they write answers.
-RECOMPUTED = 0.1
+RECOMPUTE_COST_SHARE = 0.1
 
 # Seconds between two slots that are taken back in one service. One slot a second moves
 # 1,500 units a minute at 25 a second: it corrects, and cannot thrash.
-PACE_SECONDS = 1.0
+PREEMPTION_INTERVAL_SECONDS = 1.0
 
 
 class Stream(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     levels: Mapping[ids.AccountId, float],
     waiting: Iterable[ids.AccountId],
     streams: Iterable[Stream],
-    ahead: float,
+    min_lead: float,
 ) -> Stream | None:
     """Return the stream to cancel, or None.
 
@@ -68,7 +68,7 @@
     least = min((levels[account] for account in waiting), default=None)
     if least is None:
         return None
-    found = [item for item in streams if levels[item.account] > least + ahead]
-    if not found:
+    eligible = [item for item in streams if levels[item.account] > least + min_lead]
+    if not eligible:
         return None
-    return max(found, key=lambda item: (levels[item.account], -item.streamed))
+    return max(eligible, key=lambda item: (levels[item.account], -item.streamed))
--- a/celeryspan/decisions/routing.py
+++ b/celeryspan/decisions/routing.py
@@ -27,21 +27,21 @@
 from celeryspan import dispatch, ids
 from celeryspan.decisions import pacing
 
-MAX_BLOCKS = 20_000
+MAX_PAIRS = 20_000
 """Pairs of block and server that are remembered: 8 MB at the 409 bytes of a block with
 one holder, a quarter of a node's memory for control."""
 
-GAP_TRUST = 0.7
+GAP_CONFIDENCE_FACTOR = 0.7
 """Trust kept after a gap: what it hid is a small part of what a server has stored."""
 
-MIN_TRUST = 0.2
+MIN_CONFIDENCE = 0.2
 """Least trust: a prefix that may be cached still goes before one that is not."""
 
-ANSWER_WEIGHT = 0.2
+OBSERVATION_WEIGHT = 0.2
 """Weight of one answer in the trust: answers show what was cached, and five of them
 outweigh the gaps between."""
 
-BUSY_BLOCKS = 8.0
+FULL_WINDOW_PENALTY_BLOCKS = 8.0
 """Blocks that a server must save to be preferred over one that is idle, when its own
 window is full: about the time in which the next slot falls free."""
 
@@ -83,16 +83,16 @@
         Pairs of block and server that are remembered; the oldest go first.
     """
 
-    def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
-        self._max_blocks = max_blocks
+    def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
+        self._max_pairs = max_pairs
         self._holders: collections.OrderedDict[int, set[ids.ServerId]] = (
             collections.OrderedDict()
         )
-        self._pairs = 0
-        self._last: dict[ids.ServerId, int] = {}
-        self._trust: dict[ids.ServerId, float] = {}
+        self._pair_count = 0
+        self._last_sequences: dict[ids.ServerId, int] = {}
+        self._confidence: dict[ids.ServerId, float] = {}
 
-    def apply(
+    def apply_events(
         self,
         server: ids.ServerId,
         events: Iterable[CacheEvent],
@@ -105,7 +105,7 @@
         again), is a gap.
         """
         del now
-        known = self._last.get(server, 0)
+        known = self._last_sequences.get(server, 0)
         if last < known:
             self.forget(server)
             known = 0
@@ -120,14 +120,16 @@
             else:
                 self._discard(server, event.block)
         if missed or known < last:
-            self._distrust(server)
-        self._last[server] = last
+            self._lower_confidence(server)
+        self._last_sequences[server] = last
 
     def last_sequence(self, server: ids.ServerId) -> int:
         """Return the number after which to ask the server for events."""
-        return self._last.get(server, 0)
+        return self._last_sequences.get(server, 0)
 
-    def sent(self, server: ids.ServerId, prefix: Sequence[int], now: float) -> int:
+    def record_sent(
+        self, server: ids.ServerId, prefix: Sequence[int], now: float
+    ) -> int:
         """Expect a prompt's blocks at the server that it was sent to.
 
         Its own event comes seconds later; until then further prompts of the same prefix
@@ -139,12 +141,12 @@
             Blocks that the server was believed to have before, for :meth:`observe`.
         """
         del now
-        expected = self._count(server, prefix)
+        expected = self._count_blocks(server, prefix)
         for block in prefix:
             self._add(server, block)
         return expected
 
-    def observe(self, server: ids.ServerId, expected: int, cached: int) -> None:
+    def record_cached(self, server: ids.ServerId, expected: int, cached: int) -> None:
         """Learn from an answer how many blocks of a prompt were cached.
 
         What was believed when the prompt was sent counts: afterwards the server has
@@ -158,67 +160,69 @@
         if not expected:
             return
         shown = min(1.0, cached / expected)
-        trust = self._trust.get(server, 1.0)
-        trust += (shown - trust) * ANSWER_WEIGHT
-        self._trust[server] = max(MIN_TRUST, trust)
+        trust = self._confidence.get(server, 1.0)
+        trust += (shown - trust) * OBSERVATION_WEIGHT
+        self._confidence[server] = max(MIN_CONFIDENCE, trust)
 
     def forget(self, server: ids.ServerId) -> None:
         """Drop what is known of a server that is gone or has restarted."""
         for block in [one for one, held in self._holders.items() if server in held]:
             self._discard(server, block)
-        self._last.pop(server, None)
-        self._trust.pop(server, None)
+        self._last_sequences.pop(server, None)
+        self._confidence.pop(server, None)
 
-    def cached(self, server: ids.ServerId, prefix: Sequence[int]) -> float:
+    def expected_blocks(self, server: ids.ServerId, prefix: Sequence[int]) -> float:
         """Return the expected number of a prompt's blocks that a server has."""
-        return self._count(server, prefix) * self._trust.get(server, 1.0)
+        return self._count_blocks(server, prefix) * self._confidence.get(server, 1.0)
 
-    def best_elsewhere(self, server: ids.ServerId, prefix: Sequence[int]) -> float:
+    def max_expected_elsewhere(
+        self, server: ids.ServerId, prefix: Sequence[int]
+    ) -> float:
         """Return the greatest expected number of blocks at any other server."""
 
         def is_held(index: int) -> bool:
             holders = self._holders.get(prefix[index], ())
             return len(holders) > 1 or (bool(holders) and server not in holders)
 
-        depth = _find_depth(len(prefix), is_held)
+        depth = _count_leading(len(prefix), is_held)
         if not depth:
             return 0.0
         others = (one for one in self._holders[prefix[depth - 1]] if one != server)
-        return depth * max(self._trust.get(one, 1.0) for one in others)
+        return depth * max(self._confidence.get(one, 1.0) for one in others)
 
     def count_pairs(self) -> int:
         """Return how many pairs of block and server are remembered."""
-        return self._pairs
+        return self._pair_count
 
-    def _count(self, server: ids.ServerId, prefix: Sequence[int]) -> int:
-        return _find_depth(
+    def _count_blocks(self, server: ids.ServerId, prefix: Sequence[int]) -> int:
+        return _count_leading(
             len(prefix), lambda index: server in self._holders.get(prefix[index], ())
         )
 
     def _add(self, server: ids.ServerId, block: int) -> None:
         holders = self._holders.setdefault(block, set())
-        self._pairs += server not in holders
+        self._pair_count += server not in holders
         holders.add(server)
         self._holders.move_to_end(block)
-        while self._pairs > self._max_blocks:
+        while self._pair_count > self._max_pairs:
             _, dropped = self._holders.popitem(last=False)
-            self._pairs -= len(dropped)
+            self._pair_count -= len(dropped)
 
     def _discard(self, server: ids.ServerId, block: int) -> None:
         holders = self._holders.get(block)
         if not holders or server not in holders:
             return
         holders.discard(server)
-        self._pairs -= 1
+        self._pair_count -= 1
         if not holders:
             del self._holders[block]
 
-    def _distrust(self, server: ids.ServerId) -> None:
-        trust = self._trust.get(server, 1.0) * GAP_TRUST
-        self._trust[server] = max(MIN_TRUST, trust)
+    def _lower_confidence(self, server: ids.ServerId) -> None:
+        trust = self._confidence.get(server, 1.0) * GAP_CONFIDENCE_FACTOR
+        self._confidence[server] = max(MIN_CONFIDENCE, trust)
 
 
-def _find_depth(length: int, is_held: Callable[[int], bool]) -> int:
+def _count_leading(length: int, is_held: Callable[[int], bool]) -> int:
     """Return how many leading blocks are held, by bisection.
 
     A block is stored after the blocks before it and evicted before them, so that the
@@ -235,14 +239,14 @@
     return low
 
 
-class Routing:
+class AffinityRouting:
     """Chooses requests for servers and servers for requests."""
 
     def __init__(self, cache: CacheMap) -> None:
         self._cache = cache
-        self._pacer = pacing.Pacer(pacing.Loop.AFFINITY.value)
+        self._limiter = pacing.RateLimiter(pacing.FeedbackLoop.AFFINITY.value)
 
-    def fit(self, server: ids.ServerId, work: dispatch.Work) -> float:
+    def affinity(self, server: ids.ServerId, work: dispatch.Work) -> float:
         """Return the blocks lost if a request ran elsewhere than on a granted server.
 
         Counting only what this server has would let it take prompts that another has
@@ -250,10 +254,10 @@
         """
         if not work.prefix:
             return 0.0
-        here = self._cache.cached(server, work.prefix)
-        return here - self._cache.best_elsewhere(server, work.prefix)
+        here = self._cache.expected_blocks(server, work.prefix)
+        return here - self._cache.max_expected_elsewhere(server, work.prefix)
 
-    def choose(
+    def choose_server(
         self,
         work: dispatch.Work,
         candidates: Sequence[Candidate],
@@ -275,24 +279,28 @@
         if not free:
             return None
         best = max(free, key=lambda item: self._score(item, work, rng))
-        if self._cache.cached(best.server, work.prefix):
+        if self._cache.expected_blocks(best.server, work.prefix):
             return best.server
-        if work.prefix and not self._pacer.allow(work.prefix[0], now):
-            held = [one for one in free if self._cache.cached(one.server, work.prefix)]
+        if work.prefix and not self._limiter.allow(work.prefix[0], now):
+            held = [
+                one
+                for one in free
+                if self._cache.expected_blocks(one.server, work.prefix)
+            ]
             best = max(held or [best], key=lambda item: self._score(item, work, rng))
         return best.server
 
     def _score(
         self, item: Candidate, work: dispatch.Work, rng: random.Random
     ) -> tuple[float, float]:
-        load = BUSY_BLOCKS * item.in_use / item.window
-        saved = self._cache.cached(item.server, work.prefix)
+        load = FULL_WINDOW_PENALTY_BLOCKS * item.in_use / item.window
+        saved = self._cache.expected_blocks(item.server, work.prefix)
         if not work.prefix:
             return -load, rng.random()
-        return saved - load, rank(item.server, work.prefix[0])
+        return saved - load, rendezvous_weight(item.server, work.prefix[0])
 
 
-def rank(server: ids.ServerId, block: int) -> float:
+def rendezvous_weight(server: ids.ServerId, block: int) -> float:
     """Return a number from 0 to 1 that orders servers for a prefix, alike everywhere.
 
     The server of the highest number is the rendezvous of the prefix: one server more or
--- a/celeryspan/decisions/serverlist.py
+++ b/celeryspan/decisions/serverlist.py
@@ -13,7 +13,7 @@
 
 from celeryspan import catalog, ids
 
-RETURN_SECONDS = 2.0
+REGISTRATION_GRACE_SECONDS = 2.0
 """Servers that live are back this long after the store's return."""
 
 
@@ -22,21 +22,21 @@
 
     def __init__(self) -> None:
         self._entries: dict[ids.ServerId, catalog.ServerEntry] = {}
-        self._missing: dict[ids.ServerId, float] = {}
-        self._away = False
-        self._returned_at = float("-inf")
+        self._expires_at: dict[ids.ServerId, float] = {}
+        self._store_unreachable = False
+        self._store_returned_at = float("-inf")
 
-    def lose_store(self) -> None:
+    def record_store_unreachable(self) -> None:
         """Note that the store does not answer."""
-        self._away = True
+        self._store_unreachable = True
 
-    def regain_store(self, now: float) -> None:
+    def record_store_reachable(self, now: float) -> None:
         """Note that the store answers."""
-        if self._away:
-            self._away = False
-            self._returned_at = now
+        if self._store_unreachable:
+            self._store_unreachable = False
+            self._store_returned_at = now
 
-    def put(self, entry: catalog.ServerEntry) -> None:
+    def update(self, entry: catalog.ServerEntry) -> None:
         """Take in an entry unless a newer one is known.
 
         A write of a server that has crashed may reach the store after those of its next
@@ -48,15 +48,15 @@
         ):
             return
         self._entries[entry.server] = entry
-        self._missing.pop(entry.server, None)
+        self._expires_at.pop(entry.server, None)
 
     def remove(self, server: ids.ServerId, now: float) -> None:
         """Note that an entry is missing."""
         if server not in self._entries:
             return
-        gone_at = self._returned_at + RETURN_SECONDS
+        gone_at = self._store_returned_at + REGISTRATION_GRACE_SECONDS
         if now < gone_at:
-            self._missing.setdefault(server, gone_at)
+            self._expires_at.setdefault(server, gone_at)
         else:
             self._drop(server)
 
@@ -66,13 +66,13 @@
         for server in self._entries.keys() - {entry.server for entry in listed}:
             self.remove(server, now)
         for entry in listed:
-            self.put(entry)
+            self.update(entry)
 
     def expire(self, now: float) -> bool:
         """Drop what has been missing for too long; returns whether anything was."""
-        if self._away:
+        if self._store_unreachable:
             return False
-        late = [server for server, at in self._missing.items() if at <= now]
+        late = [server for server, at in self._expires_at.items() if at <= now]
         for server in late:
             self._drop(server)
         return bool(late)
@@ -91,4 +91,4 @@
 
     def _drop(self, server: ids.ServerId) -> None:
         self._entries.pop(server, None)
-        self._missing.pop(server, None)
+        self._expires_at.pop(server, None)
--- a/celeryspan/decisions/shards.py
+++ b/celeryspan/decisions/shards.py
@@ -215,7 +215,7 @@
         return ask.request, 0.0
     shared = ask.parts[:-1] or ask.parts
     tokens = sum(part.tokens for part in ask.parts[:-1])
-    read = engines.EngineModel().read_seconds(tokens, 0)
+    read = engines.EngineModel().prefill_seconds(tokens, 0)
     return shared[-1].part, placing.READ_WEIGHT * read
 
 
--- a/celeryspan/gateway/serverlists.py
+++ b/celeryspan/gateway/serverlists.py
@@ -97,12 +97,12 @@
     def lose(self) -> None:
         """Note that entries may lapse for no fault of their servers."""
         with self._lock:
-            self._list.lose_store()
+            self._list.record_store_unreachable()
 
     def regain(self) -> None:
         """Note that servers can renew their entries again."""
         with self._lock:
-            self._list.regain_store(time.monotonic())
+            self._list.record_store_reachable(time.monotonic())
 
     def _apply_one(self, change: storedobjects.Change, now: float) -> None:
         if change.is_deleted:
@@ -113,7 +113,7 @@
             # Whoever wrote over it, it names no server any more.
             self._list.remove(ids.ServerId(change.object.name), now)
         else:
-            self._list.put(entry)
+            self._list.update(entry)
 
     def _publish(self) -> None:
         with self._lock:
--- a/celeryspan/services/assignment.py
+++ b/celeryspan/services/assignment.py
@@ -14,7 +14,7 @@
     from celeryspan import configuration
     from celeryspan.services import configuration as configuration_service, membership
 
-Handler = Callable[[tuple[homes.Move, ...]], None]
+Handler = Callable[[tuple[homes.HomeChange, ...]], None]
 
 HOME_STATES = frozenset({states.MemberState.ALIVE, states.MemberState.SUSPECT})
 """A router that leaves is no home any more; a suspected one still is, since most
@@ -49,7 +49,7 @@
         """Call a handler with the servers whose home changed."""
         with self._lock:
             self._handlers.append(handler)
-            moves = homes.compare({}, self._homes)
+            moves = homes.find_changes({}, self._homes)
         if moves:
             handler(moves)
 
@@ -86,13 +86,13 @@
             return
         with self._lock:
             restarted = self._find_restarted()
-            found = homes.assign(current.servers, self.live())
+            found = homes.assign_homes(current.servers, self.live())
             known = {
                 server: home
                 for server, home in self._homes.items()
                 if home not in restarted
             }
-            moves = homes.compare(known, found)
+            moves = homes.find_changes(known, found)
             self._homes = found
             self._maps = group_by_service(current, found)
             self._services = {
--- a/celeryspan/services/counters.py
+++ b/celeryspan/services/counters.py
@@ -100,7 +100,7 @@
             }
         return {"received": totals}
 
-    def _teach(self, moves: tuple[homes.Move, ...]) -> None:
+    def _teach(self, moves: tuple[homes.HomeChange, ...]) -> None:
         """Tell the new homes of each service what this router knows.
 
         Every router tells its own counters again; the first of the other homes also
--- a/celeryspan/services/demand.py
+++ b/celeryspan/services/demand.py
@@ -134,12 +134,12 @@
         if stage is exchange.Stage.ALL:
             found = self._assignment.find_homes(service)
             attempt = self._demands.find_attempt(key, now)
-            return homes.sample(found, self._router, service, attempt)
+            return homes.sample_homes(found, self._router, service, attempt)
         if self._demands.believers(key):
             return ()
         self._turn += 1
         servers = self._assignment.map_servers(service)
-        first = homes.pick_first(servers, self._router, service, self._turn)
+        first = homes.pick_first_home(servers, self._router, service, self._turn)
         return () if first is None else (first,)
 
     def _run(self) -> None:
--- a/celeryspan/services/dispatch.py
+++ b/celeryspan/services/dispatch.py
@@ -99,7 +99,7 @@
         self._admission = admission.Admission(self._queues)
         self._estimator = sharing.Estimator()
         self.cache = routing.CacheMap()
-        self._routing = routing.Routing(self.cache)
+        self._routing = routing.AffinityRouting(self.cache)
         self._waiters: dict[ids.RequestId, _Waiter] = {}
         self._held = slots.HeldSlots()
         self._bounces: dict[tuple[sharing.Key, ids.ServerId], int] = {}
@@ -233,7 +233,9 @@
             waiter = self._waiters.pop(entry.work.request)
             slot = slots.HeldSlot(grant, entry, now, self)
             self._held.add(slot)
-            slot.expected_blocks = self.cache.sent(grant.server, entry.work.prefix, now)
+            slot.expected_blocks = self.cache.record_sent(
+                grant.server, entry.work.prefix, now
+            )
             self._demand.use(key, home, now)
         used = messages.GrantUsed(
             grant.grant, grant.server, grant.account, entry.cost_estimate
@@ -253,7 +255,7 @@
             del self._bounces[key, server]
 
     def _fit(self, server: ids.ServerId, work: dispatch.Work) -> float:
-        return self._routing.fit(server, work)
+        return self._routing.affinity(server, work)
 
     def give(self, slot: slots.HeldSlot, units: float) -> None:
         """Count service given through a slot, in cost units."""
@@ -263,7 +265,7 @@
     def note_cached(self, slot: slots.HeldSlot, blocks: int) -> None:
         """Learn how many blocks of a prompt a server had cached."""
         with self._lock:
-            self.cache.observe(slot.server, slot.expected_blocks, blocks)
+            self.cache.record_cached(slot.server, slot.expected_blocks, blocks)
 
     def end(self, slot: slots.HeldSlot, ending: dispatch.Ending, cost: float) -> None:
         """Take a slot back and tell its home."""
@@ -284,7 +286,7 @@
             )
             self._delivery.send(home, ended)
 
-    def _move(self, moves: tuple[homes.Move, ...]) -> None:
+    def _move(self, moves: tuple[homes.HomeChange, ...]) -> None:
         """Tell the new homes which slots are in use here, and what waits."""
         now = time.monotonic()
         with self._lock:
--- a/celeryspan/services/drains.py
+++ b/celeryspan/services/drains.py
@@ -40,7 +40,10 @@
     def is_quiet(self, server: register.Server, now: float) -> bool:
         """Keep a server without work; returns whether it has had none for long."""
         name = ids.ServerId(server.name)
-        if name not in self._drains and len(self._drains) >= loading.LOADING_MAX:
+        if (
+            name not in self._drains
+            and len(self._drains) >= loading.MAX_CONCURRENT_LOADS
+        ):
             return False
         drain = self._drains.setdefault(name, _Drain())
         # Again each time: the VM list calls the server live and would give it work.
--- a/celeryspan/services/homes.py
+++ b/celeryspan/services/homes.py
@@ -167,7 +167,7 @@
     ) -> None:
         self._votes.cast(router, vote, time.monotonic())
 
-    def _move(self, moves: tuple[homes.Move, ...]) -> None:
+    def _move(self, moves: tuple[homes.HomeChange, ...]) -> None:
         """Take over and give up servers."""
         me = self._identity.router
         current = self._configuration.current()
--- a/celeryspan/services/moves.py
+++ b/celeryspan/services/moves.py
@@ -37,7 +37,7 @@
 
 
 class Mover:
-    """Carries out what :class:`placement.Placement` decides."""
+    """Carries out what :class:`placement.PlacementPlanner` decides."""
 
     def __init__(
         self, client: store.StoreClient, emptying: drains.Drains, author: str
@@ -45,7 +45,7 @@
         self._client = client
         self._drains = emptying
         self._author = author
-        self._placement = placement.Placement()
+        self._placement = placement.PlacementPlanner()
         self._progress: Progress | None = None
 
     def describe(self) -> str:
@@ -53,7 +53,7 @@
         if self._progress is None:
             return ""
         move = self._progress.move
-        return f"{move.server}: {move.giver} -> {move.taker}"
+        return f"{move.server}: {move.source} -> {move.target}"
 
     def work(
         self,
@@ -82,7 +82,7 @@
         return (
             move is not None
             and move.server == server.name
-            and move.taker != server.service
+            and move.target != server.service
         )
 
     def note_loaded(self, server: ids.ServerId) -> None:
@@ -92,7 +92,7 @@
             return
         self._progress = None
         events.log(
-            events.Event.SERVER_MOVED, server=server, service=progress.move.taker
+            events.Event.SERVER_MOVED, server=server, service=progress.move.target
         )
 
     def give_up(self) -> None:
@@ -109,14 +109,14 @@
         now: float,
     ) -> None:
         placed = {
-            name: placement.Placed(ids.ServiceId(server.service), server.slots)
+            name: placement.PlacedServer(ids.ServiceId(server.service), server.slots)
             for name, server in managed.items()
             if name not in leaving
         }
-        move = self._placement.choose(pressures, placed, now)
+        move = self._placement.choose_move(pressures, placed, now)
         if move is None:
             return
-        self._placement.note_move(move.server, now)
+        self._placement.record_move(move.server, now)
         self._progress = Progress(move, now)
 
     def _drain(
@@ -139,7 +139,7 @@
         if standing.generation != current.generation:
             return  # A newer one is on its way here; look again with it in force.
         placements = dict(current.placements)
-        placements[progress.move.server] = progress.move.taker
+        placements[progress.move.server] = progress.move.target
         try:
             publishing.publish(
                 self._client,
--- a/celeryspan/services/orders.py
+++ b/celeryspan/services/orders.py
@@ -56,7 +56,7 @@
         self._departures: vmlist.VMListService = box.find("vmlist")
         self._drains = drains.Drains(self._departures)
         self._mover = moves.Mover(self._store.client, self._drains, holder)
-        self._limit: loading.LoadLimit | None = None
+        self._limit: loading.LoadLimiter | None = None
         self._queue: collections.deque[ids.ServerId] = collections.deque()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="orders", daemon=True)
@@ -99,7 +99,7 @@
             self._drains.give_up()
             return
         if self._limit is None:
-            self._limit = loading.LoadLimit(time.monotonic())
+            self._limit = loading.LoadLimiter(time.monotonic())
         managed = list_managed(current)
         totals, leaving = self._pressures.sum_up(), self._departures.leaving()
         self._mover.work(current, managed, totals, leaving, time.monotonic())
@@ -127,8 +127,8 @@
         """Read the state of one engine and send the order it needs, if any."""
         address = ids.Address.parse(server.address)
         state = self._client.read_state(address)
-        self._limit.note(server.name, loading=state.loading)
-        wanted = loading.Wanted(
+        self._limit.update(server.name, loading=state.loading)
+        wanted = loading.DesiredState(
             service.model, service.adapters, service.version, service.role
         )
         kind = loading.choose_order(wanted, state)
@@ -139,10 +139,10 @@
         now = time.monotonic()
         if not self._keeper.lease.may_order(now, checks_fence=server.checks_fence):
             return
-        if kind is loading.Kind.LOAD:
+        if kind is loading.OrderKind.LOAD:
             if not self._drains.is_quiet(server, now):
                 return
-            if not self._limit.take(server.name, now):
+            if not self._limit.try_begin(server.name, now):
                 return
             self._drains.note_ordered(ids.ServerId(server.name))
         fence = self._keeper.lease.fence
--- a/celeryspan/services/outliers.py
+++ b/celeryspan/services/outliers.py
@@ -31,7 +31,7 @@
     def __init__(self, box: kernel.Kernel) -> None:
         self._assignment: assignment.AssignmentService = box.find("assignment")
         self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._judges: dict[ids.ServiceId, outliers.Outliers] = {}
+        self._judges: dict[ids.ServiceId, outliers.OutlierDetector] = {}
         self._ejected: set[ids.ServerId] = set()
         self._lock = threading.Lock()
         self._stopped = threading.Event()
@@ -56,7 +56,7 @@
         now = time.monotonic()
         service = slot.grant.service
         with self._lock:
-            judge = self._judges.setdefault(service, outliers.Outliers())
+            judge = self._judges.setdefault(service, outliers.OutlierDetector())
             changes = judge.record(
                 slot.server, ending in FAILED, now - slot.given_at, cost, now
             )
@@ -70,8 +70,8 @@
         changes = []
         with self._lock:
             for (service, server), (seconds, units) in sums.items():
-                judge = self._judges.setdefault(service, outliers.Outliers())
-                changes += judge.observe(server, seconds, units, now)
+                judge = self._judges.setdefault(service, outliers.OutlierDetector())
+                changes += judge.record_running(server, seconds, units, now)
         self._apply(changes)
 
     def report(self) -> dict[str, object]:
@@ -83,7 +83,7 @@
         now = time.monotonic()
         with self._lock:
             for service, homes in self._assignment.maps().items():
-                judge = self._judges.setdefault(service, outliers.Outliers())
+                judge = self._judges.setdefault(service, outliers.OutlierDetector())
                 for server in homes:
                     judge.add(server, now)
                 for server in judge.servers() - homes.keys():
@@ -95,7 +95,9 @@
             now = time.monotonic()
             with self._lock:
                 judges = list(self._judges.values())
-                changes = [each for judge in judges for each in judge.evaluate(now)]
+                changes = [
+                    each for judge in judges for each in judge.start_due_trials(now)
+                ]
             self._apply(changes)
             for server in tuple(self._ejected):
                 self._vote(server, is_failing=True)
--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -81,7 +81,7 @@
         observation: observations.Observation,
         begin: Callable[[runs.Run], Answer],
     ) -> Answer:
-        progress = outcomes.Progress(idempotent=call.idempotent)
+        progress = outcomes.RequestProgress(idempotent=call.idempotent)
         excluded: set[ids.ServerId] = set()
         number = 0
         while True:
@@ -101,7 +101,7 @@
     def _acquire(
         self,
         call: calls.Call,
-        progress: outcomes.Progress,
+        progress: outcomes.RequestProgress,
         excluded: frozenset[ids.ServerId],
     ) -> dispatch.Slot:
         work = dispatch.Work(
@@ -149,7 +149,7 @@
     def _pause(
         self,
         call: calls.Call,
-        progress: outcomes.Progress,
+        progress: outcomes.RequestProgress,
         failure: runs.Failure,
         number: int,
     ) -> None:
--- a/celeryspan/services/runs.py
+++ b/celeryspan/services/runs.py
@@ -34,7 +34,7 @@
         self,
         pool: backends.Backends,
         slot: dispatch.Slot,
-        progress: outcomes.Progress,
+        progress: outcomes.RequestProgress,
         observation: observations.Observation,
         name: ids.RequestId,
     ) -> None:
@@ -95,11 +95,11 @@
         declined = isinstance(cause, backend.Declined)
         ending = dispatch.Ending.FAILED
         if declined:
-            self.progress.decline()
+            self.progress.record_decline()
             if cause.leaving:
                 ending = dispatch.Ending.LEAVING
         else:
-            self.progress.lose()
+            self.progress.record_connection_loss()
             if isinstance(cause, backends.TIMEOUT_ERRORS):
                 ending = dispatch.Ending.TIMED_OUT
         self.abandon(ending)
--- a/celeryspan/services/store.py
+++ b/celeryspan/services/store.py
@@ -27,8 +27,8 @@
 
     def __init__(self, box: kernel.Kernel) -> None:
         self.client = store.StoreClient(box.settings.store_address)
-        self._breaker = outages.Breaker()
-        self._budget = outages.Budget()
+        self._breaker = outages.CircuitBreaker()
+        self._budget = outages.CallBudget()
         self._generator = random.Random(box.settings.router + str(time.time_ns()))
         self._lock = threading.Lock()
         self._calls: collections.Counter[str] = collections.Counter()
@@ -98,7 +98,7 @@
     def _admit(self, kind: str, background: bool) -> None:
         now = time.monotonic()
         with self._lock:
-            if not self._breaker.admits(now):
+            if not self._breaker.try_acquire(now):
                 reason = "the object API did not answer lately; try again later"
             elif background and not self._budget.take(now):
                 reason = "the budget of background calls is used up"
@@ -109,13 +109,13 @@
 
     def _note_answer(self) -> None:
         with self._lock:
-            ended = self._breaker.succeed()
+            ended = self._breaker.record_success()
         if ended:
             events.log(events.Event.STORE_REACHABLE, peer=self.client.address)
 
     def _note_failure(self, error: errors.StoreUnavailable) -> None:
         with self._lock:
-            began = self._breaker.fail(time.monotonic(), self._generator)
+            began = self._breaker.record_failure(time.monotonic(), self._generator)
         if began:
             events.log(
                 events.Event.STORE_UNREACHABLE,
--- a/celeryspan/services/vmlist.py
+++ b/celeryspan/services/vmlist.py
@@ -92,7 +92,7 @@
 
     def _mark(self, server: ids.ServerId, state: states.ServerState) -> None:
         with self._lock:
-            fact = self._departures.mark(server, state, _read_clock())
+            fact = self._departures.record_state(server, state, _read_clock())
         if fact is not None:
             self._publish(fact)
 
@@ -161,8 +161,8 @@
             if vm.name in servers
         ]
         with self._lock:
-            self._departures.keep(servers)
-            facts = self._departures.take_list(listed, _read_clock())
+            self._departures.retain(servers)
+            facts = self._departures.apply_vm_list(listed, _read_clock())
             self._leaving = self._departures.leaving()
         for fact in facts:
             self._publish(fact)
--- a/celeryspan/services/windows.py
+++ b/celeryspan/services/windows.py
@@ -42,7 +42,7 @@
         entry = self._entries[server]
         entry.load = load
         before = entry.window.size
-        entry.window.report(load, in_use, now)
+        entry.window.record_load(load, in_use, now)
         if entry.window.size != before:
             events.log(
                 events.Event.WINDOW_CHANGED,
--- a/tests/bench/test_placing.py
+++ b/tests/bench/test_placing.py
@@ -36,7 +36,7 @@
     run_out(found, set())
     read = sum(seconds for _, seconds in found.reads)
     assert read == pytest.approx(
-        engines.EngineModel().read_seconds(21_000, 0), rel=0.01
+        engines.EngineModel().prefill_seconds(21_000, 0), rel=0.01
     )
 
 
@@ -65,7 +65,7 @@
     run_out(found, known)
     gaps = [b - a for a, b in zip(stream.events, stream.events[1:], strict=False)]
     # The model takes the last chunks for full ones, and the worst steps for one event.
-    bound = engines.EngineModel().gap_seconds(31_000, 0, 6, 2)
+    bound = engines.EngineModel().max_gap_seconds(31_000, 0, 6, 2)
     assert 0.75 * bound <= max(gaps) <= bound
     assert sorted(gaps)[len(gaps) // 2] < 0.03
 
--- a/tests/decisions/test_departures.py
+++ b/tests/decisions/test_departures.py
@@ -15,11 +15,11 @@
 def test_list_that_lags_does_not_take_back_a_servers_own_word() -> None:
     """A server says that it leaves; the platform's list calls it live for a minute."""
     found = departures.Departures()
-    assert found.mark("s", LEAVING, 10 * SECOND) is not None
-    assert found.take_list([("s", LIVE)], 20 * SECOND) == []
+    assert found.record_state("s", LEAVING, 10 * SECOND) is not None
+    assert found.apply_vm_list([("s", LIVE)], 20 * SECOND) == []
     assert found.leaving() == {"s"}
-    later = 10 * SECOND + int(departures.LAG_SECONDS * SECOND)
-    assert len(found.take_list([("s", LIVE)], later)) == 1
+    later = 10 * SECOND + int(departures.VM_LIST_LAG_SECONDS * SECOND)
+    assert len(found.apply_vm_list([("s", LIVE)], later)) == 1
     assert found.leaving() == frozenset()
 
 
@@ -39,36 +39,38 @@
 
 def test_clock_that_goes_back_still_raises_the_version() -> None:
     found = departures.Departures()
-    first = found.mark("s", LEAVING, 100)
-    second = found.mark("s", LIVE, 50)
+    first = found.record_state("s", LEAVING, 100)
+    second = found.record_state("s", LIVE, 50)
     assert second.version > first.version
-    assert found.mark("s", LIVE, 60) is None
+    assert found.record_state("s", LIVE, 60) is None
 
 
 def test_loads_begin_one_after_the_other() -> None:
     """A new version for a hundred engines must not empty the weight store at once."""
-    limit = loading.LoadLimit(0.0)
+    limit = loading.LoadLimiter(0.0)
     began = []
     for tenth in range(0, 3_000):
         now = tenth / 10
         for server in range(100):
-            if limit.take(f"server-{server}", now):
+            if limit.try_begin(f"server-{server}", now):
                 began.append(now)
-                limit.note(f"server-{server}", loading=tenth % 200 < 100)
-                limit.note(f"server-{server}", loading=False)
+                limit.update(f"server-{server}", loading=tenth % 200 < 100)
+                limit.update(f"server-{server}", loading=False)
     gaps = [late - early for early, late in itertools.pairwise(began)]
-    assert began[0] >= loading.LOAD_SECONDS
-    assert min(gaps) >= loading.LOAD_SECONDS - 1e-9
+    assert began[0] >= loading.LOAD_INTERVAL_SECONDS
+    assert min(gaps) >= loading.LOAD_INTERVAL_SECONDS - 1e-9
 
 
 def test_order_only_for_what_differs() -> None:
     state = loading.EngineState("m", (), "1", "decode", 0, False)
-    assert loading.choose_order(loading.Wanted(""), state) is None
-    assert loading.choose_order(loading.Wanted("m"), state) is None
-    assert loading.choose_order(loading.Wanted("n"), state) is loading.Kind.LOAD
-    wanted = loading.Wanted("m", version="2")
-    assert loading.choose_order(wanted, state) is loading.Kind.LOAD
-    wanted = loading.Wanted("m", ("a",))
-    assert loading.choose_order(wanted, state) is loading.Kind.LOAD
-    wanted = loading.Wanted("m", role="prefill")
-    assert loading.choose_order(wanted, state) is loading.Kind.ROLE
+    assert loading.choose_order(loading.DesiredState(""), state) is None
+    assert loading.choose_order(loading.DesiredState("m"), state) is None
+    assert (
+        loading.choose_order(loading.DesiredState("n"), state) is loading.OrderKind.LOAD
+    )
+    wanted = loading.DesiredState("m", version="2")
+    assert loading.choose_order(wanted, state) is loading.OrderKind.LOAD
+    wanted = loading.DesiredState("m", ("a",))
+    assert loading.choose_order(wanted, state) is loading.OrderKind.LOAD
+    wanted = loading.DesiredState("m", role="prefill")
+    assert loading.choose_order(wanted, state) is loading.OrderKind.ROLE
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -16,19 +16,21 @@
 
 
 def test_late_chunks_are_dearer() -> None:
-    first = MODEL.read_seconds(4096, 0)
-    late = MODEL.read_seconds(4096, 40_000)
+    first = MODEL.prefill_seconds(4096, 0)
+    late = MODEL.prefill_seconds(4096, 40_000)
     assert late > 2 * first
-    whole = MODEL.read_seconds(8192, 0)
-    assert whole == pytest.approx(first + MODEL.read_seconds(4096, 4096))
+    whole = MODEL.prefill_seconds(8192, 0)
+    assert whole == pytest.approx(first + MODEL.prefill_seconds(4096, 4096))
 
 
 def test_pause_beside_a_prompt_grows_with_it_and_is_bounded_by_steps() -> None:
-    pauses = [MODEL.gap_seconds(n, 0, 6, 24) for n in (0, 4096, 20_000, 50_000)]
+    pauses = [MODEL.max_gap_seconds(n, 0, 6, 24) for n in (0, 4096, 20_000, 50_000)]
     assert pauses == sorted(pauses)
     assert pauses[1] < 0.1 < 0.3 < pauses[3]
     # Beyond six chunks only the last six count.
-    assert MODEL.gap_seconds(25_000, 25_000, 6, 24) == pytest.approx(pauses[3], rel=0.1)
+    assert MODEL.max_gap_seconds(25_000, 25_000, 6, 24) == pytest.approx(
+        pauses[3], rel=0.1
+    )
 
 
 def test_part_is_of_use_only_behind_kept_parts() -> None:
--- a/tests/decisions/test_homes.py
+++ b/tests/decisions/test_homes.py
@@ -13,22 +13,24 @@
 
 
 def test_only_the_servers_of_a_router_that_left_move() -> None:
-    before = homes.assign(SERVERS, ROUTERS)
-    after = homes.assign(SERVERS, ROUTERS[1:])
-    moves = homes.compare(before, after)
+    before = homes.assign_homes(SERVERS, ROUTERS)
+    after = homes.assign_homes(SERVERS, ROUTERS[1:])
+    moves = homes.find_changes(before, after)
     assert {move.old for move in moves} == {ROUTERS[0]}
     assert len(moves) == sum(home == ROUTERS[0] for home in before.values())
     assert {move.new for move in moves} == set(ROUTERS[1:])
 
 
 def test_servers_spread_over_homes() -> None:
-    found = list(homes.assign(SERVERS, ROUTERS).values())
+    found = list(homes.assign_homes(SERVERS, ROUTERS).values())
     assert all(70 <= found.count(router) <= 130 for router in ROUTERS)
 
 
 def test_order_of_members_does_not_matter() -> None:
-    assert homes.assign(SERVERS, ROUTERS) == homes.assign(SERVERS, ROUTERS[::-1])
-    assert homes.assign(SERVERS, []) == {}
+    assert homes.assign_homes(SERVERS, ROUTERS) == homes.assign_homes(
+        SERVERS, ROUTERS[::-1]
+    )
+    assert homes.assign_homes(SERVERS, []) == {}
 
 
 def test_samples_reach_every_home_in_the_end() -> None:
@@ -40,21 +42,23 @@
     many = [ids.RouterId(f"router-{index}") for index in range(440)]
     heard: set[ids.RouterId] = set()
     for attempt in range(600):
-        found = homes.sample(many, ROUTERS[0], SERVICE, attempt)
+        found = homes.sample_homes(many, ROUTERS[0], SERVICE, attempt)
         assert len(found) == homes.SAMPLE_SIZE
         heard |= set(found)
     assert heard == set(many)
 
 
 def test_small_service_tells_all_homes() -> None:
-    assert homes.sample(ROUTERS, ROUTERS[0], SERVICE, 3) == tuple(ROUTERS)
+    assert homes.sample_homes(ROUTERS, ROUTERS[0], SERVICE, 3) == tuple(ROUTERS)
 
 
 def test_first_home_is_asked_in_proportion_to_its_servers() -> None:
     found = {SERVERS[0]: ROUTERS[0], SERVERS[1]: ROUTERS[0], SERVERS[2]: ROUTERS[1]}
-    first = [homes.pick_first(found, ROUTERS[2], SERVICE, turn) for turn in range(300)]
+    first = [
+        homes.pick_first_home(found, ROUTERS[2], SERVICE, turn) for turn in range(300)
+    ]
     assert 170 <= first.count(ROUTERS[0]) <= 230
-    assert homes.pick_first({}, ROUTERS[2], SERVICE, 1) is None
+    assert homes.pick_first_home({}, ROUTERS[2], SERVICE, 1) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -24,32 +24,32 @@
 def test_one_overload_is_answered_once() -> None:
     window = limits.Window(64, 0.0)
     for at in range(4):
-        window.report(limits.LoadReport(64, 48, 16, 0.0, float(at)), 64, at + 5.0)
+        window.record_load(limits.LoadReport(64, 48, 16, 0.0, float(at)), 64, at + 5.0)
     assert window.size == 64 - 16 + 5
 
 
 def test_window_stays_between_floor_and_ceiling() -> None:
     window = limits.Window(8, 0.0)
     for at in range(0, 100, 10):
-        window.answer(True, None, float(at))
-    assert window.size == limits.FLOOR
+        window.record_end(True, None, float(at))
+    assert window.size == limits.MIN_WINDOW
     for at in range(100, 200, 10):
-        window.report(limits.LoadReport(8, 1, 0, 0.0, float(at)), 8, float(at))
+        window.record_load(limits.LoadReport(8, 1, 0, 0.0, float(at)), 8, float(at))
     assert window.size == 8
 
 
 def test_a_window_that_is_not_used_does_not_grow() -> None:
     """A quiet night is followed by a burst that stalls every stream of the server."""
     window = limits.Window(64, 0.0)
-    window.answer(True, None, 1.0)
+    window.record_end(True, None, 1.0)
     size = window.size
     for at in range(10, 60):
-        window.report(limits.LoadReport(64, 2, 0, 0.0, float(at)), 2, float(at))
+        window.record_load(limits.LoadReport(64, 2, 0, 0.0, float(at)), 2, float(at))
     assert window.size == size
 
 
 def test_slow_streams_narrow_the_window() -> None:
     window = limits.Window(64, 0.0)
     for at in range(30):
-        window.answer(False, 2 * limits.TOKEN_SECONDS, float(at))
+        window.record_end(False, 2 * limits.MAX_TOKEN_SECONDS, float(at))
     assert window.size < 64 * 0.7
--- a/tests/decisions/test_outcomes.py
+++ b/tests/decisions/test_outcomes.py
@@ -25,7 +25,7 @@
     @stateful.initialize(idempotent=strategies.booleans())
     def begin(self, idempotent: bool) -> None:
         self.idempotent = idempotent
-        self.progress = outcomes.Progress(idempotent=idempotent)
+        self.progress = outcomes.RequestProgress(idempotent=idempotent)
 
     def is_in(self, *found: states.RequestState) -> bool:
         return self.progress.state in found
@@ -46,7 +46,7 @@
         """Let the server read the bytes and run the request, or not: nobody knows."""
         try:
             self.progress.send()
-        except outcomes.IllegalStep:
+        except outcomes.IllegalTransition:
             return
         self.sends_without_decline += 1
         self.last_ran = ran
@@ -55,17 +55,17 @@
     @stateful.precondition(lambda self: self.is_in(_State.SENT) and not self.last_ran)
     @stateful.rule()
     def decline(self) -> None:
-        self.progress.decline()
+        self.progress.record_decline()
         self.sends_without_decline -= 1
 
     @stateful.precondition(lambda self: self.is_in(_State.SENT, _State.ANSWERING))
     @stateful.rule()
     def lose(self) -> None:
         if self.progress.outcome is states.Outcome.RAN:
-            with pytest.raises(outcomes.IllegalStep):
-                self.progress.lose()
+            with pytest.raises(outcomes.IllegalTransition):
+                self.progress.record_connection_loss()
         else:
-            self.progress.lose()
+            self.progress.record_connection_loss()
 
     @stateful.precondition(lambda self: self.is_in(_State.SENT))
     @stateful.rule()
@@ -101,19 +101,19 @@
 
 
 def test_a_lost_request_stays_unknown_after_another_server_declines() -> None:
-    progress = outcomes.Progress(idempotent=True)
+    progress = outcomes.RequestProgress(idempotent=True)
     progress.grant()
     progress.send()
-    progress.lose()
+    progress.record_connection_loss()
     progress.grant()
     progress.send()
-    progress.decline()
+    progress.record_decline()
     assert progress.settle() is states.Outcome.UNKNOWN
 
 
 def test_steps_out_of_order_are_refused() -> None:
-    progress = outcomes.Progress(idempotent=False)
-    with pytest.raises(outcomes.IllegalStep):
+    progress = outcomes.RequestProgress(idempotent=False)
+    with pytest.raises(outcomes.IllegalTransition):
         progress.send()
-    with pytest.raises(outcomes.IllegalStep):
+    with pytest.raises(outcomes.IllegalTransition):
         progress.answer()
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -9,15 +9,19 @@
 NAMES = [ids.ServerId(f"s{index}") for index in range(6)]
 
 
-def make_outliers(count: int = 6) -> outliers.Outliers:
-    judge = outliers.Outliers()
+def make_outliers(count: int = 6) -> outliers.OutlierDetector:
+    judge = outliers.OutlierDetector()
     for name in NAMES[:count]:
         judge.add(name, 0.0)
     return judge
 
 
 def answer(
-    judge: outliers.Outliers, name: str, seconds: float, cost: float, count: int = 20
+    judge: outliers.OutlierDetector,
+    name: str,
+    seconds: float,
+    cost: float,
+    count: int = 20,
 ) -> list[outliers.Change]:
     changes = []
     for _ in range(count):
@@ -63,8 +67,8 @@
         answer(judge, name, 1.0, 100.0)
     assert answer(judge, NAMES[5], 5.0, 100.0)[0].standing is outliers.Standing.EJECTED
     assert judge.slots(NAMES[5], 16) == 0
-    assert judge.evaluate(5.0) == []
-    assert [one.server for one in judge.evaluate(12.0)] == [NAMES[5]]
+    assert judge.start_due_trials(5.0) == []
+    assert [one.server for one in judge.start_due_trials(12.0)] == [NAMES[5]]
     assert judge.slots(NAMES[5], 16) == 1
     answer(judge, NAMES[5], 1.0, 100.0, outliers.TRIAL_ANSWERS)
     assert judge.slots(NAMES[5], 16) == 16
@@ -72,12 +76,12 @@
 
 def test_a_failed_trial_doubles_the_ejection() -> None:
     judge = make_outliers()
-    for _ in range(outliers.FAILURES_IN_ROW):
+    for _ in range(outliers.MAX_CONSECUTIVE_FAILURES):
         judge.record(NAMES[0], True, 0.1, 0.0, 1.0)
-    judge.evaluate(11.0)
+    judge.start_due_trials(11.0)
     judge.record(NAMES[0], True, 0.1, 0.0, 11.0)
-    assert judge.evaluate(30.0) == []
-    assert judge.evaluate(31.0)[0].standing is outliers.Standing.TRIAL
+    assert judge.start_due_trials(30.0) == []
+    assert judge.start_due_trials(31.0)[0].standing is outliers.Standing.TRIAL
 
 
 def test_half_of_a_service_stays_whatever_happens() -> None:
@@ -91,7 +95,7 @@
         for name in NAMES:
             judge.record(name, True, 0.1, 0.0, now * 0.1)
     left = [name for name in NAMES if judge.standing(name) is outliers.Standing.GOOD]
-    assert len(left) >= outliers.KEPT_SHARE * len(NAMES)
+    assert len(left) >= outliers.MIN_ACTIVE_SHARE * len(NAMES)
 
 
 def test_a_slow_server_is_ejected_before_its_requests_end() -> None:
@@ -102,8 +106,8 @@
     """
     judge = make_outliers()
     for name in NAMES[:5]:
-        judge.observe(name, 30.0, 750.0, 1.0)
-    changes = judge.observe(NAMES[5], 30.0, 75.0, 1.0)
+        judge.record_running(name, 30.0, 750.0, 1.0)
+    changes = judge.record_running(NAMES[5], 30.0, 75.0, 1.0)
     assert [one.standing for one in changes] == [outliers.Standing.EJECTED]
 
 
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -13,7 +13,7 @@
     """Servers of two services under given loads, looked at each ten seconds."""
 
     def __init__(self, first: int, second: int) -> None:
-        self.placement = placement.Placement()
+        self.placement = placement.PlacementPlanner()
         self.servers = {
             f"server-{number:02}": "first" if number < first else "second"
             for number in range(first + second)
@@ -33,13 +33,13 @@
                 "second": self.measure("second", second),
             }
             placed = {
-                name: placement.Placed(service, SLOTS)
+                name: placement.PlacedServer(service, SLOTS)
                 for name, service in self.servers.items()
             }
-            move = self.placement.choose(pressures, placed, now)
+            move = self.placement.choose_move(pressures, placed, now)
             if move is not None:
-                self.placement.note_move(move.server, now)
-                self.servers[move.server] = move.taker
+                self.placement.record_move(move.server, now)
+                self.servers[move.server] = move.target
                 self.moves.append((now, move))
             now += 10
 
@@ -48,9 +48,9 @@
     fleet = Fleet(8, 2)
     fleet.run(0, 1_200, first=10, second=50)
     times = [now for now, _ in fleet.moves]
-    assert times[0] >= placement.STEADY_SECONDS
+    assert times[0] >= placement.MIN_PRESSURE_SECONDS
     gaps = [late - early for early, late in itertools.pairwise(times)]
-    assert min(gaps) >= placement.MOVE_SECONDS
+    assert min(gaps) >= placement.MOVE_INTERVAL_SECONDS
     assert 3 <= len(fleet.moves) <= 6
     fleet.run(1_200, 4_800, first=10, second=50)
     assert all(now < 1_200 for now, _ in fleet.moves)
@@ -83,4 +83,4 @@
     for server in fleet.servers:
         times = [now for now, move in fleet.moves if move.server == server]
         gaps = [late - early for early, late in itertools.pairwise(times)]
-        assert all(gap >= placement.REST_SECONDS for gap in gaps)
+        assert all(gap >= placement.SERVER_COOLDOWN_SECONDS for gap in gaps)
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -25,7 +25,7 @@
         routing.CacheEvent(first + index, True, block)
         for index, block in enumerate(PROMPT)
     ]
-    cache.apply(ids.ServerId(server), events, events[-1].sequence, 0.0)
+    cache.apply_events(ids.ServerId(server), events, events[-1].sequence, 0.0)
 
 
 def test_a_hot_prefix_does_not_make_one_server_the_bottleneck() -> None:
@@ -51,12 +51,12 @@
 def test_a_gap_lowers_trust_and_answers_restore_it() -> None:
     cache = routing.CacheMap()
     store(cache, "s0")
-    assert cache.cached(NAMES[0], PROMPT) == 4.0
+    assert cache.expected_blocks(NAMES[0], PROMPT) == 4.0
     store(cache, "s0", first=40)
-    assert cache.cached(NAMES[0], PROMPT) < 4.0
+    assert cache.expected_blocks(NAMES[0], PROMPT) < 4.0
     for _ in range(30):
-        cache.observe(NAMES[0], expected=4, cached=4)
-    assert cache.cached(NAMES[0], PROMPT) > 3.9
+        cache.record_cached(NAMES[0], expected=4, cached=4)
+    assert cache.expected_blocks(NAMES[0], PROMPT) > 3.9
 
 
 def test_first_prompts_do_not_lower_trust() -> None:
@@ -69,31 +69,31 @@
     store(cache, "s0")
     for number in range(30):
         prompt = (*PROMPT, 1000 + number)
-        expected = cache.sent(NAMES[0], prompt, 0.0)
-        cache.observe(NAMES[0], expected, cached=4)
-    assert cache.cached(NAMES[0], PROMPT) == 4.0
+        expected = cache.record_sent(NAMES[0], prompt, 0.0)
+        cache.record_cached(NAMES[0], expected, cached=4)
+    assert cache.expected_blocks(NAMES[0], PROMPT) == 4.0
 
 
 def test_a_server_that_has_started_again_is_believed_empty() -> None:
     cache = routing.CacheMap()
     store(cache, "s0", first=100)
-    cache.apply(NAMES[0], [], 0, 1.0)
-    assert cache.cached(NAMES[0], PROMPT) == 0.0
+    cache.apply_events(NAMES[0], [], 0, 1.0)
+    assert cache.expected_blocks(NAMES[0], PROMPT) == 0.0
 
 
 def test_memory_is_bounded() -> None:
-    cache = routing.CacheMap(max_blocks=100)
+    cache = routing.CacheMap(max_pairs=100)
     for block in range(1000):
-        cache.sent(NAMES[block % 5], (block,), 0.0)
+        cache.record_sent(NAMES[block % 5], (block,), 0.0)
     assert cache.count_pairs() <= 100
 
 
 def test_best_elsewhere_leaves_out_the_server_itself() -> None:
     cache = routing.CacheMap()
     store(cache, "s0")
-    cache.sent(NAMES[1], PROMPT[:2], 0.0)
-    assert cache.best_elsewhere(NAMES[0], PROMPT) == 2.0
-    assert cache.best_elsewhere(NAMES[1], PROMPT) == 4.0
+    cache.record_sent(NAMES[1], PROMPT[:2], 0.0)
+    assert cache.max_expected_elsewhere(NAMES[0], PROMPT) == 2.0
+    assert cache.max_expected_elsewhere(NAMES[1], PROMPT) == 4.0
 
 
 def test_routers_that_have_just_started_spread_prefixes_and_agree() -> None:
@@ -107,7 +107,9 @@
     for prefix in range(500):
         work = make_work((prefix,))
         picks = {
-            routing.Routing(routing.CacheMap()).choose(work, candidates, 0.0, rng)
+            routing.AffinityRouting(routing.CacheMap()).choose_server(
+                work, candidates, 0.0, rng
+            )
             for _ in range(3)
         }
         assert len(picks) == 1
@@ -116,8 +118,8 @@
 
 
 def test_full_and_excluded_servers_are_not_chosen() -> None:
-    control = routing.Routing(routing.CacheMap())
+    control = routing.AffinityRouting(routing.CacheMap())
     candidates = [routing.Candidate(NAMES[0], 8, 8), routing.Candidate(NAMES[1], 8, 7)]
     rng = random.Random(1)
-    assert control.choose(make_work(PROMPT), candidates, 0.0, rng) == NAMES[1]
-    assert control.choose(make_work(PROMPT), candidates[:1], 0.0, rng) is None
+    assert control.choose_server(make_work(PROMPT), candidates, 0.0, rng) == NAMES[1]
+    assert control.choose_server(make_work(PROMPT), candidates[:1], 0.0, rng) is None
--- a/tests/decisions/test_serverlist.py
+++ b/tests/decisions/test_serverlist.py
@@ -29,7 +29,7 @@
 
 def test_entry_that_is_missing_is_gone_at_once() -> None:
     found = serverlist.ServerList()
-    found.put(make_entry("s1", 1))
+    found.update(make_entry("s1", 1))
     found.remove(ids.ServerId("s1"), now=10.0)
     assert found.usable() == {}
 
@@ -40,21 +40,21 @@
     Dropping them at its return leaves no server for two seconds, though all work.
     """
     found = serverlist.ServerList()
-    found.put(make_entry("s1", 1))
-    found.put(make_entry("s2", 2))
-    found.lose_store()
-    found.regain_store(now=10.0)
+    found.update(make_entry("s1", 1))
+    found.update(make_entry("s2", 2))
+    found.record_store_unreachable()
+    found.record_store_reachable(now=10.0)
     found.replace([], now=10.0)
     assert set(found.usable()) == {"s1", "s2"}
-    found.put(make_entry("s1", 9))
+    found.update(make_entry("s1", 9))
     assert found.expire(now=12.1)
     assert set(found.usable()) == {"s1"}
 
 
 def test_leaving_server_is_not_usable_and_an_old_entry_changes_nothing() -> None:
     found = serverlist.ServerList()
-    found.put(make_entry("s1", 5, leaving=True))
-    found.put(make_entry("s1", 4))
+    found.update(make_entry("s1", 5, leaving=True))
+    found.update(make_entry("s1", 4))
     assert found.usable() == {}
     assert found.find(ids.ServerId("s1")).is_leaving
 
@@ -66,10 +66,10 @@
     to the address, and see the draining, of an incarnation that is dead.
     """
     found = serverlist.ServerList()
-    found.put(make_entry("s1", 5, started_ms=2_000))
-    found.put(make_entry("s1", 6, started_ms=1_000, leaving=True))
+    found.update(make_entry("s1", 5, started_ms=2_000))
+    found.update(make_entry("s1", 6, started_ms=1_000, leaving=True))
     assert found.usable()["s1"].started_ms == 2_000
-    found.put(make_entry("s1", 7, started_ms=3_000))
+    found.update(make_entry("s1", 7, started_ms=3_000))
     assert found.usable()["s1"].started_ms == 3_000
 
 
@@ -91,7 +91,7 @@
         self.revision += 1
         self.stored[name] = self.revision
         if not self.away:
-            self.found.put(make_entry(name, self.revision))
+            self.found.update(make_entry(name, self.revision))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def lapse(self, name: str) -> None:
@@ -103,7 +103,7 @@
     def lose(self) -> None:
         """Let the store be silent."""
         self.away = True
-        self.found.lose_store()
+        self.found.record_store_unreachable()
 
     @stateful.rule()
     def regain(self) -> None:
@@ -111,7 +111,7 @@
         if self.away:
             self.calm_since = self.now
         self.away = False
-        self.found.regain_store(self.now)
+        self.found.record_store_reachable(self.now)
         entries = [make_entry(name, at) for name, at in self.stored.items()]
         self.found.replace(entries, self.now)
 
@@ -130,7 +130,7 @@
     @stateful.invariant()
     def drops_what_is_gone(self) -> None:
         """Two seconds after an outage nothing else is."""
-        settled = self.now >= self.calm_since + serverlist.RETURN_SECONDS
+        settled = self.now >= self.calm_since + serverlist.REGISTRATION_GRACE_SECONDS
         if not self.away and settled:
             self.found.expire(self.now)
             assert set(self.found.usable()) == set(self.stored)
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -86,11 +86,11 @@
 def fleet(monkeypatch):
     for name, seconds in FAST.items():
         monkeypatch.setattr(leases, name, seconds)
-    monkeypatch.setattr(loading, "LOAD_SECONDS", 0.1)
+    monkeypatch.setattr(loading, "LOAD_INTERVAL_SECONDS", 0.1)
     monkeypatch.setattr(orders_service, "ROUND_SECONDS", 0.05)
     monkeypatch.setattr(drains, "QUIET_SECONDS", 0.1)
     monkeypatch.setattr(pressures, "REPORT_SECONDS", 0.2)
-    for name in ("STEADY_SECONDS", "MOVE_SECONDS"):
+    for name in ("MIN_PRESSURE_SECONDS", "MOVE_INTERVAL_SECONDS"):
         monkeypatch.setattr(placement, name, 0.5)
     made = Fleet()
     yield made
--- a/tests/services/test_store_outages.py
+++ b/tests/services/test_store_outages.py
@@ -86,14 +86,14 @@
     with pytest.raises(errors.StoreUnavailable) as caught:
         service.create("key", b"value")
     assert not isinstance(caught.value, errors.StoreNotAsked)
-    support.wait_until(lambda: service._breaker.admits(1e12))
+    support.wait_until(lambda: service._breaker.try_acquire(1e12))
     assert service.client.get("key")[0] == b"value"
     with pytest.raises(errors.Conflict):
         service.client.create("key", b"other")
 
 
 def test_background_is_held_to_its_budget(standin, service) -> None:
-    for _ in range(int(outages.BURST)):
+    for _ in range(int(outages.BURST_CALLS)):
         service.list_keys("none/", background=True)
     with pytest.raises(errors.StoreNotAsked):
         for _ in range(5):
