--- a/celeryspan/decisions/engines.py
+++ b/celeryspan/decisions/engines.py
@@ -1,12 +1,12 @@
-"""What a prompt costs a model engine, and what it does to the streams beside it.
+"""Cost model for prefill and its effect on concurrent streams of a model engine.
 
-Load answered: prompts of a few hundred and of fifty thousand tokens at the same
-engines. An engine reads a prompt in chunks between the tokens of running streams, so
-that each chunk lengthens a step of all of them, and chunks late in a long prompt are
-dearer, since each token looks at all before it. Without this model a router takes all
-requests for alike, and every stream beside a long prompt pauses past its limit.
+Prompts range from a few hundred to 50,000 tokens on the same engines. An engine
+prefills a prompt in chunks between the decode steps of its running streams, so each
+chunk lengthens one step of every stream. Chunks late in a long prompt cost more, since
+each token attends to all tokens before it. A router without this model treats all
+requests as equal, and every stream next to a long prompt exceeds its gap limit.
 
-The figures are those of today's engines; the ledger of a pool scales them by what it
+The defaults describe current engines. The pool ledger scales them by the speed that it
 observes at each server.
 """
 
@@ -22,20 +22,21 @@
 
 
 class EngineModel(msgspec.Struct, frozen=True):
-    """Times of one engine.
+    """Timing parameters of one engine.
 
     Attributes
     ----------
     token_seconds : float
-        To read one token; today's engines read 125 in a millisecond.
+        Prefill time per token; current engines prefill 125 tokens per millisecond.
     pair_seconds : float
-        For one token to look at one before it; 0.263 ms for a million pairs.
+        Attention time per pair of tokens; 0.263 ms per million pairs.
     chunk_tokens : int
-        Tokens read in one step.
+        Tokens prefilled in one step.
     step_seconds, step_seconds_per_run : float
-        A step without reading: at least 3.27 ms, and 0.0823 ms more a running request.
+        Duration of a step without prefill: 3.27 ms plus 0.0823 ms per running request.
     first_event_seconds : float
-        From the end of reading to the first event: a stride of steps and the way back.
+        Time from the end of prefill to the first event: one stride of decode steps and
+        the network latency back.
     """
 
     token_seconds: float = 8e-6
@@ -45,18 +46,18 @@
     step_seconds_per_run: float = 0.0000823
     first_event_seconds: float = 0.062
 
-    def prefill_seconds(self, unread: int, kept: int) -> float:
-        """Return the time to read the rest of a prompt of which a part is kept."""
-        pairs = unread * kept + unread * unread / 2
-        return unread * self.token_seconds + pairs * self.pair_seconds
+    def prefill_seconds(self, uncached: int, cached: int) -> float:
+        """Return the time to prefill the tokens that are not in the prompt cache."""
+        pairs = uncached * cached + uncached * uncached / 2
+        return uncached * self.token_seconds + pairs * self.pair_seconds
 
     def max_gap_seconds(
-        self, unread: int, kept: int, stride: int, running: int
+        self, uncached: int, cached: int, stride: int, running: int
     ) -> float:
-        """Return the longest pause that reading a prompt causes in streams beside it.
+        """Return the longest event gap that a prefill causes in concurrent streams.
 
-        An event of a stream holds ``stride`` tokens, so that as many steps lie between
-        two events; the worst are those with the last chunks of the prompt.
+        A stream event holds ``stride`` tokens, so two events are ``stride`` steps
+        apart. The worst case is the gap that contains the last chunks of the prompt.
 
         Parameters
         ----------
@@ -64,37 +65,38 @@
             Streams in progress at the engine.
         """
         steps = stride * (self.step_seconds + self.step_seconds_per_run * running)
-        chunks = min(stride, math.ceil(unread / self.chunk_tokens))
-        last = min(unread, chunks * self.chunk_tokens)
-        return steps + self.prefill_seconds(last, kept + unread - last)
+        chunks = min(stride, math.ceil(uncached / self.chunk_tokens))
+        last = min(uncached, chunks * self.chunk_tokens)
+        return steps + self.prefill_seconds(last, cached + uncached - last)
 
     def prefill_pause_seconds(
         self, engine: catalog.Engine, gap_max: float = 0.3
     ) -> float:
-        """Return the pause that reading needs after a burst as long as may be.
+        """Return the pause required after the longest permitted burst of prefill.
 
-        Streams make an event in ``stride`` steps; if more of these read than fit into
-        the longest pause, some of them must not, wherever the event begins.
+        A stream emits one event every ``stride`` steps. Only so many of these steps may
+        include a prefill chunk before the gap exceeds ``gap_max``. The remaining steps
+        must be free of prefill, whichever step the event starts at.
         """
         step = self.step_seconds + self.step_seconds_per_run * engine.slots
         chunk = self.chunk_tokens * self.token_seconds
-        reading = math.floor((gap_max - engine.stride * step) / chunk)
-        return max(0, engine.stride - reading) * step
+        prefill_steps = math.floor((gap_max - engine.stride * step) / chunk)
+        return max(0, engine.stride - prefill_steps) * step
 
 
 class Prompt:
-    """What one prompt costs, worked out once for each number of tokens kept.
+    """Cost of one prompt, memoised by the number of its cached tokens.
 
     Parameters
     ----------
     tokens : int
         Length of the prompt.
     gap_max : float
-        Longest pause that streams beside it may make, in seconds.
+        Longest permitted event gap of concurrent streams, in seconds.
     stride : int
         Tokens in one event.
     running : int
-        Streams that are expected beside it.
+        Expected number of concurrent streams.
     """
 
     def __init__(
@@ -107,29 +109,31 @@
         self._running = running
         self._costs: dict[int, tuple[float, float, float]] = {}
 
-    def prefill_seconds(self, kept: int, running: int, speed: float) -> float:
-        """Return the time to read what is not kept, beside so many streams."""
-        read, steps, _ = self._estimate(kept)
+    def prefill_seconds(self, cached: int, running: int, speed: float) -> float:
+        """Return the prefill time of the uncached tokens with ``running`` streams."""
+        prefill, steps, _ = self._estimate(cached)
         model = self._model
         step = model.step_seconds + model.step_seconds_per_run * running
-        return (read + steps * step) * speed
-
-    def gap_seconds(self, kept: int, speed: float) -> float:
-        """Return the longest pause that reading it causes in streams beside it."""
-        return self._estimate(kept)[2] * speed
-
-    def is_long(self, kept: int, speed: float) -> bool:
-        """Whether reading it makes the streams beside it pause for too long."""
-        return self.gap_seconds(kept, speed) > self._gap_max
-
-    def _estimate(self, kept: int) -> tuple[float, float, float]:
-        """Return reading time, steps that it takes, and the pause that it causes."""
-        found = self._costs.get(kept)
-        if found is None:
-            unread = max(0, self._tokens - kept)
-            found = self._costs[kept] = (
-                self._model.prefill_seconds(unread, kept),
-                unread / self._model.chunk_tokens,
-                self._model.max_gap_seconds(unread, kept, self._stride, self._running),
+        return (prefill + steps * step) * speed
+
+    def gap_seconds(self, cached: int, speed: float) -> float:
+        """Return the longest event gap that the prefill causes in other streams."""
+        return self._estimate(cached)[2] * speed
+
+    def is_long(self, cached: int, speed: float) -> bool:
+        """Whether the prefill causes a longer event gap than permitted."""
+        return self.gap_seconds(cached, speed) > self._gap_max
+
+    def _estimate(self, cached: int) -> tuple[float, float, float]:
+        """Return the prefill time, the steps that it takes and the gap it causes."""
+        cost = self._costs.get(cached)
+        if cost is None:
+            uncached = max(0, self._tokens - cached)
+            cost = self._costs[cached] = (
+                self._model.prefill_seconds(uncached, cached),
+                uncached / self._model.chunk_tokens,
+                self._model.max_gap_seconds(
+                    uncached, cached, self._stride, self._running
+                ),
             )
-        return found
+        return cost
--- a/celeryspan/decisions/migration.py
+++ b/celeryspan/decisions/migration.py
@@ -1,10 +1,10 @@
-"""Whether a run goes to another engine once its prompt is read, and to which one.
+"""Decides whether a run moves to another engine after prefill, and to which one.
 
-Load answered: long prompts among streams that must not pause. An engine that is set
-apart reads one long prompt after the other; the streams of those that it has read make
-no event while it reads the next one. Of the prompts of over 20,000 tokens three in four
-were late for that. Copying a prompt of 30,000 tokens to an engine that reads no long
-ones takes 25 ms, a tenth of the pause that its caller allows.
+An engine dedicated to long prompts prefills them one after another, and the streams of
+prompts that it has already prefilled emit no event during the next prefill. This made
+three in four prompts of over 20,000 tokens exceed their gap limit. Copying a prompt of
+30,000 tokens to an engine without long prompts takes 25 ms, a tenth of the gap that its
+caller allows.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from celeryspan.decisions import poolservers
 
 MIN_EVENTS = 3
-"""A run of which fewer events are expected ends before it is worth a copy."""
+"""Expected events below which a run ends before a copy would pay off."""
 
 PENDING_SECOND_COST = 1.0
 RUN_COST_SECONDS = 0.004
-"""What a second of pending reading and a run in progress count for at a target: one run
-more makes each step of all the others 0.08 ms longer, some 50 steps in all."""
+"""Cost of a second of pending prefill and of a run in progress at a target, in seconds.
+One more run adds 0.08 ms to each step of all other runs, over about 50 steps."""
 
 OTHER_DATA_CENTRE_COST_SECONDS = 0.02
-"""What another data centre counts for: a copy takes twice as long there."""
+"""Cost of a target in another data centre: a copy there takes twice as long."""
 
 
 def is_worth_moving(engine: catalog.Engine, output_tokens: int) -> bool:
-    """Whether a run that is expected to make so many tokens is worth a copy."""
+    """Whether a run with this expected output length is worth copying."""
     return engine.moves and output_tokens >= MIN_EVENTS * engine.stride
 
 
@@ -36,8 +36,8 @@
     servers: Iterable[poolservers.PoolServer],
     now: float,
 ) -> poolservers.PoolServer | None:
-    """Return the server that takes a run over, or None if none has a place."""
-    fit = [
+    """Return the server that takes over a run, or None if none can accept it."""
+    candidates = [
         server
         for server in servers
         if server is not source and server.is_open(now) and not server.reads_long()
@@ -51,4 +51,4 @@
             + (0.0 if is_near else OTHER_DATA_CENTRE_COST_SECONDS)
         )
 
-    return min(fit, key=cost, default=None)
+    return min(candidates, key=cost, default=None)
--- a/celeryspan/decisions/pacing.py
+++ b/celeryspan/decisions/pacing.py
@@ -1,14 +1,14 @@
-"""How fast decisions may change: one rate limit for every feedback loop.
+"""Rate limits for the feedback loops of a router.
 
-Load pattern: a signal that lags by seconds (load reports, cache events, failures that
-time out) drives a decision that changes the signal.
+A feedback loop acts on a signal that lags by seconds (load reports, cache events,
+timeouts) and that its own decisions change.
 
-Without it: the decision is repeated on the same old signal until it has gone far too
-far, then swings back: windows saw up and down, a whole service is ejected within a
-second, all callers move to the one server that looked free.
+Without a rate limit a loop repeats its decision on the same stale signal, overshoots
+and oscillates: windows grow and shrink in turn, a whole service is ejected within a
+second, or all callers move to the one server that looked free.
 
-Grounds of the figures: each interval is at least the time in which the effect of a
-change shows in the signal that drives the loop.
+Each interval is at least the time until the effect of a change shows in the signal that
+drives the loop.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class RateLimit(msgspec.Struct, frozen=True):
-    """Rate limit of one loop.
+    """Rate limit of one feedback loop.
 
     Attributes
     ----------
     interval : float
-        Least seconds between two changes of the same thing, in the long run.
+        Minimum average time between two changes of the same key, in seconds.
     burst : int
-        Changes that may follow each other at once.
+        Changes that may be made without a delay in between.
     """
 
     interval: float
@@ -37,28 +37,29 @@
     """The feedback loops of a router, with their rate limits."""
 
     WINDOW = RateLimit(1.0)
-    """Window of a server; the report's own lag is added to it."""
+    """Changes of a server's window; the lag of its load reports adds to this."""
 
     EJECTION = RateLimit(5.0, burst=2)
-    """Ejections in one service: a failure of the network path shows at all servers at
-    once, two at a time leave the time to see that it is not the servers."""
+    """Ejections in one service. A network failure shows at all servers at once; a burst
+    of two leaves time to recognise that the servers are not the cause."""
 
     READMISSION = RateLimit(1.0)
-    """Trials in one service: each takes a real request."""
+    """Trials in one service: each one risks a real request."""
 
     AFFINITY = RateLimit(2.0)
-    """Moves of a hot prefix to one more server: the lag of cache events."""
+    """Placements of a hot prefix on one more server, limited by the lag of cache
+    events."""
 
 
 class RateLimiter:
-    """Token buckets of one loop, one for each key."""
+    """Token buckets of one feedback loop, one per key."""
 
     def __init__(self, limit: RateLimit) -> None:
         self._limit = limit
         self._buckets: dict[object, tuple[float, float]] = {}
 
     def allow(self, key: object, now: float) -> bool:
-        """Take leave to change ``key`` now; False if it changed too recently."""
+        """Take a token to change ``key`` now; False if it changed too recently."""
         tokens, at = self._buckets.get(key, (float(self._limit.burst), now))
         tokens = min(
             float(self._limit.burst), tokens + max(0.0, now - at) / self._limit.interval
@@ -70,5 +71,5 @@
         return True
 
     def forget(self, key: object) -> None:
-        """Drop what is kept for a key that is gone."""
+        """Drop the bucket of a key that no longer exists."""
         self._buckets.pop(key, None)
--- a/celeryspan/decisions/placement.py
+++ b/celeryspan/decisions/placement.py
@@ -1,19 +1,20 @@
-"""Which backend server should change to another model, and when none should.
-
-Pattern answered: work for one model waits for minutes while servers of another stand
-idle; demand moves between models over the day. Without this module that capacity idles
-until an operator changes the register. Moved too eagerly, servers spend their time
-loading: a load takes a minute of a server and a share of the weight store's rate, and
-two models that wait in turn would pass a server to and fro.
-
-A server moves only if work has waited for one service, and slots of another have been
-free, at each look for :data:`STEADY_SECONDS`; if what remains covers the giver with
-slots to spare; and not within :data:`REST_SECONDS` of its own last move or
-:data:`MOVE_SECONDS` of any.
-
-Grounds of the figures: a load is taken to last a minute; a move must bring work for
-much longer than it costs, so that a server rests ten times as long. One move a minute
-over the fleet is 60 loads an hour, and at most six for each of ten servers.
+"""Decides which backend server should switch to the model of another service.
+
+Demand shifts between models over the day, so requests for one model can wait for
+minutes while servers of another are idle. Without this module that capacity is unused
+until an operator changes the register. Moving too eagerly makes servers spend their
+time loading: a load takes a server a minute and a share of the weight store's rate, and
+two models under pressure in turn would pass a server back and forth.
+
+A server moves only if requests have waited for the target service, and the source
+service has had free slots, at every check for :data:`MIN_PRESSURE_SECONDS`. The source
+must keep spare slots after the move. A server does not move within
+:data:`SERVER_COOLDOWN_SECONDS` of its own last move, nor within
+:data:`MOVE_INTERVAL_SECONDS` of any move in the fleet.
+
+A load is assumed to take a minute, and a move must bring work for much longer than it
+costs, so the cooldown is ten times as long. One move a minute over the fleet is 60
+loads an hour, and at most six for each of ten servers.
 """
 
 from __future__ import annotations
@@ -26,33 +27,33 @@
 from celeryspan import ids
 
 MIN_PRESSURE_SECONDS = 20.0
-"""How long pressure must last; bursts of a few seconds are what queues are for."""
+"""Time that pressure must last before a move; queues absorb bursts of a few seconds."""
 
 MOVE_INTERVAL_SECONDS = 60.0
-"""Least time between two moves of the fleet: the stated limit, 60 an hour."""
+"""Minimum time between two moves in the fleet: the documented limit of 60 an hour."""
 
 SERVER_COOLDOWN_SECONDS = 600.0
-"""Least time between two moves of one server: six an hour at most."""
+"""Minimum time between two moves of one server: at most six an hour."""
 
 MIN_FREE_SHARE = 0.3
-"""Part of the giver's slots that must stay free after the move. A server taken from a
-service that is nearly full would only make work wait there instead."""
+"""Share of the source's slots that must be free after the move. Taking a server from a
+nearly full service would only make requests wait there instead."""
 
 STARVED_WAITING_PER_SLOT = 0.5
-"""Work waits for want of servers if more than this many requests wait for each slot."""
+"""Waiting requests per slot from which a service counts as short of servers."""
 
 
 class Pressure(msgspec.Struct, frozen=True):
-    """What the fleet reports of one service.
+    """Load of one service over the whole fleet.
 
     Attributes
     ----------
     waiting : int
-        Requests that wait, over all routers.
+        Requests waiting at all routers.
     busy : int
         Slots in use.
     slots : int
-        Slots there are.
+        Total slots.
     """
 
     waiting: int
@@ -61,13 +62,13 @@
 
     @property
     def is_starved(self) -> bool:
-        """Whether work waits for want of servers."""
+        """Whether requests wait because the service has too few servers."""
         return (
             self.waiting > 0 and self.waiting >= self.slots * STARVED_WAITING_PER_SLOT
         )
 
     def can_spare(self, slots: int) -> bool:
-        """Whether the service is well without so many of its slots."""
+        """Whether the service can lose this many slots and keep enough of them free."""
         left = self.slots - slots
         return (
             self.waiting == 0 and left > 0 and self.busy <= left * (1 - MIN_FREE_SHARE)
@@ -75,14 +76,14 @@
 
 
 class PlacedServer(msgspec.Struct, frozen=True):
-    """A model server as it is placed now."""
+    """Current placement of a model server."""
 
     service: ids.ServiceId
     slots: int
 
 
 class Move(msgspec.Struct, frozen=True):
-    """Let a server load the model of another service."""
+    """Moves a server to another service, whose model it loads."""
 
     server: ids.ServerId
     source: ids.ServiceId
@@ -90,7 +91,7 @@
 
 
 class PlacementPlanner:
-    """Judges the pressure on the services of one fleet."""
+    """Plans moves from the pressure on the services of one fleet."""
 
     def __init__(self) -> None:
         self._wanted_since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
@@ -110,11 +111,11 @@
         servers : mapping
             Model servers that are neither leaving nor loading.
         """
-        wanted = self._find_candidates(pressures, servers, now)
-        self._track_candidates(wanted, now)
+        candidates = self._find_candidates(pressures, servers, now)
+        self._track_candidates(candidates, now)
         if now - self._last_fleet_move < MOVE_INTERVAL_SECONDS:
             return None
-        for move in wanted.values():
+        for move in candidates.values():
             if (
                 now - self._wanted_since[move.source, move.target]
                 >= MIN_PRESSURE_SECONDS
@@ -123,7 +124,7 @@
         return None
 
     def record_move(self, server: ids.ServerId, now: float) -> None:
-        """Note a move, also one that another holder of the duty has made."""
+        """Record a move, including one made by another router with the planner duty."""
         self._last_moves[server] = self._last_fleet_move = now
         self._wanted_since.clear()
 
@@ -137,25 +138,25 @@
             (name for name, pressure in pressures.items() if pressure.is_starved),
             key=lambda name: -pressures[name].waiting,
         )
-        wanted: dict[tuple[ids.ServiceId, ids.ServiceId], Move] = {}
-        for taker in starved:
+        candidates: dict[tuple[ids.ServiceId, ids.ServiceId], Move] = {}
+        for target in starved:
             for server, placed in sorted(servers.items()):
-                pair = (placed.service, taker)
+                pair = (placed.service, target)
                 pressure = pressures.get(placed.service)
-                if pressure is None or pair in wanted or placed.service == taker:
+                if pressure is None or pair in candidates or placed.service == target:
                     continue
-                rested = (
+                has_cooled_down = (
                     now - self._last_moves.get(server, -math.inf)
                     >= SERVER_COOLDOWN_SECONDS
                 )
-                if rested and pressure.can_spare(placed.slots):
-                    wanted[pair] = Move(server, placed.service, taker)
-        return wanted
+                if has_cooled_down and pressure.can_spare(placed.slots):
+                    candidates[pair] = Move(server, placed.service, target)
+        return candidates
 
     def _track_candidates(
-        self, wanted: Mapping[tuple[ids.ServiceId, ids.ServiceId], Move], now: float
+        self, candidates: Mapping[tuple[ids.ServiceId, ids.ServiceId], Move], now: float
     ) -> None:
-        """Remember since when each move has been wanted without a break."""
+        """Track since when each move has been a candidate without interruption."""
         self._wanted_since = {
-            pair: self._wanted_since.get(pair, now) for pair in wanted
+            pair: self._wanted_since.get(pair, now) for pair in candidates
         }
--- a/celeryspan/decisions/preemption.py
+++ b/celeryspan/decisions/preemption.py
@@ -1,14 +1,14 @@
-"""Whether to take a slot back from a client account that is far ahead.
+"""Preemption of streams of a client account that is far above its fair share.
 
-Load pattern: long jobs of one account hold many slots when others become backlogged,
-and slots fall free only as those jobs end.
+Long jobs of one account can hold many slots when other accounts become backlogged, and
+slots are released only as those jobs end.
 
-Without it the others wait for up to one greatest cost. With it, a stream is cancelled
-and resumed later; the engine then computes the tokens so far once more, at the speed of
-a prompt.
+Without preemption the other accounts wait for up to the cost of the largest request.
+With preemption a stream is cancelled and resumed later, and the engine recomputes the
+tokens generated so far at prefill speed.
 
-``docs/design/preemption.md`` holds the figures by which it is weighed. The daemons do
-not use it; the replay's policies ``oracle-preempt-*`` do.
+``docs/design/preemption.md`` compares costs and benefits. The daemons do not preempt;
+the ``oracle-preempt-*`` policies of the replay do.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# Part of the cost of streamed tokens that computing them again takes: engines read
-# prompts about ten times as fast as they write answers.
+# Cost of recomputing streamed tokens, as a share of their original cost: engines
+# prefill about ten times as fast as they decode.
 RECOMPUTE_COST_SHARE = 0.1
 
-# Seconds between two slots that are taken back in one service. One slot a second moves
-# 1,500 units a minute at 25 a second: it corrects, and cannot thrash.
+# Minimum time between two preemptions in one service. One slot per second shifts 1,500
+# cost units a minute at 25 units a second: enough to correct without thrashing.
 PREEMPTION_INTERVAL_SECONDS = 1.0
 
 
@@ -37,7 +37,7 @@
     Attributes
     ----------
     streamed : float
-        Cost units so far.
+        Cost units streamed so far.
     """
 
     request: ids.RequestId
@@ -53,8 +53,8 @@
 ) -> Stream | None:
     """Return the stream to cancel, or None.
 
-    Of the account that is furthest ahead it is the stream with the least to compute
-    again.
+    Chooses the account with the highest level, and of its streams the one that is
+    cheapest to recompute.
 
     Parameters
     ----------
@@ -62,13 +62,13 @@
         Service received by each account, in cost units per weight.
     waiting : iterable of AccountId
         Accounts with waiting requests.
-    ahead : float
-        How far an account must be ahead of the least waiting one.
+    min_lead : float
+        Required distance above the lowest level of a waiting account, exclusive.
     """
-    least = min((levels[account] for account in waiting), default=None)
-    if least is None:
+    lowest = min((levels[account] for account in waiting), default=None)
+    if lowest is None:
         return None
-    eligible = [item for item in streams if levels[item.account] > least + min_lead]
+    eligible = [item for item in streams if levels[item.account] > lowest + min_lead]
     if not eligible:
         return None
     return max(eligible, key=lambda item: (levels[item.account], -item.streamed))
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -1,4 +1,4 @@
-"""What a prompt costs an engine and the streams beside it."""
+"""Tests for the engine cost model and the state kept for placement."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def make_parts(*parts: tuple[str, int]) -> list[messages.PromptPart]:
-    """Return the parts of a prompt."""
+    """Build prompt parts from names and token counts."""
     return [messages.PromptPart(name, tokens) for name, tokens in parts]
 
 
-def test_late_chunks_are_dearer() -> None:
+def test_late_chunks_cost_more() -> None:
     first = MODEL.prefill_seconds(4096, 0)
     late = MODEL.prefill_seconds(4096, 40_000)
     assert late > 2 * first
@@ -23,24 +23,24 @@
     assert whole == pytest.approx(first + MODEL.prefill_seconds(4096, 4096))
 
 
-def test_pause_beside_a_prompt_grows_with_it_and_is_bounded_by_steps() -> None:
-    pauses = [MODEL.max_gap_seconds(n, 0, 6, 24) for n in (0, 4096, 20_000, 50_000)]
-    assert pauses == sorted(pauses)
-    assert pauses[1] < 0.1 < 0.3 < pauses[3]
-    # Beyond six chunks only the last six count.
+def test_stream_gap_grows_with_the_prompt_and_is_bounded_by_the_stride() -> None:
+    gaps = [MODEL.max_gap_seconds(n, 0, 6, 24) for n in (0, 4096, 20_000, 50_000)]
+    assert gaps == sorted(gaps)
+    assert gaps[1] < 0.1 < 0.3 < gaps[3]
+    # A stride of six steps holds at most the last six chunks.
     assert MODEL.max_gap_seconds(25_000, 25_000, 6, 24) == pytest.approx(
-        pauses[3], rel=0.1
+        gaps[3], rel=0.1
     )
 
 
-def test_part_is_of_use_only_behind_kept_parts() -> None:
+def test_part_counts_as_cached_only_after_a_cached_prefix() -> None:
     cache = promptcache.PromptCache(1000)
     cache.use(make_parts(("a", 100), ("b", 200)), 0.0)
     assert cache.count_kept(make_parts(("a", 100), ("b", 200), ("c", 50))) == 300
     assert cache.count_kept(make_parts(("x", 10), ("b", 200))) == 0
 
 
-def test_least_recently_used_parts_yield_and_shared_ones_stay_longest() -> None:
+def test_least_recently_used_parts_are_evicted_and_shared_parts_stay() -> None:
     cache = promptcache.PromptCache(1000)
     for number in range(20):
         cache.use(make_parts(("shared", 300), (f"own-{number}", 200)), 0.0)
@@ -50,7 +50,7 @@
     assert cache.count_kept(make_parts(("shared", 300))) == 0
 
 
-def test_shares_fade_and_nothing_is_saved_up() -> None:
+def test_account_shares_decay_without_accruing_credit() -> None:
     shares = accountshares.AccountShares()
     shares.charge("flood", 9000.0, 0.0)
     shares.charge("calm", 1000.0, 0.0)
@@ -59,7 +59,7 @@
     assert shares.level("flood") < shares.level("calm")
 
 
-def test_server_that_accepts_no_connection_rests_for_longer_each_time() -> None:
+def test_unreachable_server_backs_off_longer_after_each_failure() -> None:
     health = serverhealth.ServerHealth()
     health.fail(0.0, unreachable=True)
     assert health.rests(0.4) and not health.rests(0.6)
@@ -70,7 +70,7 @@
     assert not health.rests(3.6)
 
 
-def test_server_that_fails_now_and_then_is_dearer_and_does_not_rest() -> None:
+def test_intermittent_failures_raise_the_failure_rate_without_backoff() -> None:
     health = serverhealth.ServerHealth()
     for _ in range(20):
         health.succeed()
@@ -79,11 +79,12 @@
     assert not health.rests(0.0)
 
 
-def test_parts_that_are_still_to_be_read_can_not_be_copied() -> None:
-    """Two requests about a new subject come at once and go to two engines.
+def test_parts_not_yet_prefilled_can_not_be_copied() -> None:
+    """Guards against copying prompt parts from an engine that has not prefilled them.
 
-    The second one would ask the first engine for what it has not read yet, wait for
-    nothing and read it all the same.
+    Two requests with the same new prefix arrive together and go to two engines. The
+    second engine would request the parts from the first, wait in vain and prefill them
+    anyway.
     """
     cache = promptcache.PromptCache(10_000)
     parts = make_parts(("a", 100), ("b", 200))
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Servers move to where work waits, slowly, and stay there."""
+"""Tests for moves of servers between services under pressure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Fleet:
-    """Servers of two services under given loads, looked at each ten seconds."""
+    """Simulates the servers of two services, with a placement check every 10 s."""
 
     def __init__(self, first: int, second: int) -> None:
         self.placement = placement.PlacementPlanner()
@@ -25,7 +25,7 @@
         return placement.Pressure(max(0, load - slots), min(load, slots), slots)
 
     def run(self, begin: float, end: float, first: int, second: int) -> None:
-        """Let loads, in requests at once, last for a while."""
+        """Apply constant loads, in concurrent requests, from ``begin`` to ``end``."""
         now = begin
         while now < end:
             pressures = {
@@ -44,7 +44,7 @@
             now += 10
 
 
-def test_servers_move_one_a_minute_until_the_work_fits() -> None:
+def test_servers_move_once_a_minute_until_capacity_suffices() -> None:
     fleet = Fleet(8, 2)
     fleet.run(0, 1_200, first=10, second=50)
     times = [now for now, _ in fleet.moves]
@@ -56,7 +56,7 @@
     assert all(now < 1_200 for now, _ in fleet.moves)
 
 
-def test_burst_moves_nothing() -> None:
+def test_short_bursts_move_no_server() -> None:
     fleet = Fleet(5, 5)
     for start in range(0, 3_600, 60):
         fleet.run(start, start + 20, first=0, second=200)
@@ -64,17 +64,18 @@
     assert fleet.moves == []
 
 
-def test_full_giver_gives_nothing() -> None:
+def test_full_service_gives_up_no_server() -> None:
     fleet = Fleet(5, 5)
     fleet.run(0, 3_600, first=35, second=100)
     assert fleet.moves == []
 
 
-def test_two_services_that_wait_in_turn_do_not_pass_a_server_to_and_fro() -> None:
-    """Load swings between two models each five minutes; engines load all day.
+def test_alternating_pressure_does_not_move_servers_back_and_forth() -> None:
+    """Guards against engines that spend the day loading models.
 
-    Each swing lasts long enough to be pressure. A server that has moved rests for ten
-    minutes, so that each moves at most six times an hour.
+    Load alternates between two models every five minutes, long enough to count as
+    pressure each time. The cooldown of ten minutes limits each server to six moves an
+    hour.
     """
     fleet = Fleet(3, 3)
     for start in range(0, 7_200, 600):
--- a/tests/decisions/test_preemption.py
+++ b/tests/decisions/test_preemption.py
@@ -1,4 +1,4 @@
-"""Which stream is cancelled for an account that is far behind."""
+"""Tests for the choice of the stream to preempt."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
     return preemption.Stream(ids.RequestId(name), account, streamed)
 
 
-def test_the_stream_with_the_least_to_compute_again_is_cancelled() -> None:
-    """An airline's long answers hold all slots while the gate desk waits.
+def test_stream_that_is_cheapest_to_recompute_is_cancelled() -> None:
+    """Long streams of one account hold all slots while another account waits.
 
-    It is 8,000 units ahead. The answer that has just begun costs least to resume.
+    The account is 8,000 units ahead. The stream that has just begun is the cheapest to
+    resume.
     """
     streams = [make_stream("a", AIRLINE, 900.0), make_stream("b", AIRLINE, 20.0)]
     found = preemption.pick_victim(LEVELS, [HANDLER], streams, 2000.0)
     assert found == streams[1]
 
 
-def test_nobody_is_cancelled_who_is_not_far_ahead_or_while_nobody_waits() -> None:
+def test_nothing_is_cancelled_without_a_large_lead_or_without_waiting_accounts() -> (
+    None
+):
     streams = [make_stream("a", AIRLINE, 900.0), make_stream("c", HANDLER, 5.0)]
     assert preemption.pick_victim(LEVELS, [HANDLER], streams, 8000.0) is None
     assert preemption.pick_victim(LEVELS, [], streams, 1.0) is None
