--- a/celeryspan/decisions/departures.py
+++ b/celeryspan/decisions/departures.py
@@ -1,12 +1,14 @@
-"""Which backend servers are leaving: own words, facts of peers, the lagging VM list.
+"""Tracks which backend servers are leaving.
 
-Failure answered: a backend server is about to stop. Without this module it gets work
-until it is gone, and that work fails or is cut. The platform's list of VMs lags behind
-reality by seconds or minutes, so that it may propose a departure but can't take back
-one that the server has announced itself.
+Sources are the servers themselves, facts from peer routers and the platform's VM list.
 
-Facts are ordered by version, a clock in microseconds that each new fact raises above
-the one before; the highest wins, so that late and doubled ones do no harm.
+A server that is about to stop would otherwise get requests until it is gone, and these
+requests would fail or be cut off. The VM list lags by seconds or minutes, so it may
+report a departure but must not revoke one that the server has announced itself.
+
+Facts are ordered by version: a timestamp in microseconds that each new fact raises
+above its predecessor's. The highest version wins, so late and duplicate facts have no
+effect.
 """
 
 from __future__ import annotations
@@ -17,19 +19,19 @@
 from celeryspan.wire import messages
 
 VM_LIST_LAG_SECONDS = 60.0
-"""A list that calls a server live is believed only this long after the server was
-said to leave: longer than the list has been seen to lag, and a server that has come
-back waits no longer than a restart takes."""
+"""Time after a departure during which a VM list that reports the server as live is
+ignored. It is longer than the observed lag of the list; a server that has come back
+waits no longer than a restart takes."""
 
 
 class Departures:
-    """What this router holds about servers that leave or came back."""
+    """Facts that this router holds about servers that are leaving or have returned."""
 
     def __init__(self) -> None:
         self._facts: dict[ids.ServerId, messages.ServerFact] = {}
 
     def leaving(self) -> frozenset[ids.ServerId]:
-        """Return the servers that get no new work."""
+        """Return the servers that get no new requests."""
         return frozenset(
             server
             for server, fact in self._facts.items()
@@ -37,11 +39,11 @@
         )
 
     def facts(self) -> list[messages.ServerFact]:
-        """Return all facts, for a router that has joined."""
+        """Return all facts, to send to a router that has joined."""
         return list(self._facts.values())
 
     def merge(self, fact: messages.ServerFact) -> bool:
-        """Take a peer's fact if it is newer; returns whether it was."""
+        """Store a peer's fact if it is newer; return whether it was."""
         if fact.state is states.ServerState.EJECTED:
             return False
         known = self._facts.get(fact.server)
@@ -53,7 +55,7 @@
     def record_state(
         self, server: ids.ServerId, state: states.ServerState, clock: int
     ) -> messages.ServerFact | None:
-        """Take the word of a server itself; returns the fact to spread, if it is new.
+        """Record the state of a server; return the fact to spread, if it is new.
 
         Parameters
         ----------
@@ -61,8 +63,8 @@
             Wall clock in microseconds.
         """
         known = self._facts.get(server)
-        standing = known.state if known is not None else states.ServerState.LIVE
-        if standing is state:
+        current = known.state if known is not None else states.ServerState.LIVE
+        if current is state:
             return None
         version = max(clock, known.version + 1 if known is not None else 0)
         fact = messages.ServerFact(server, state, version)
@@ -72,8 +74,8 @@
     def apply_vm_list(
         self, listed: Iterable[tuple[ids.ServerId, states.ServerState]], clock: int
     ) -> list[messages.ServerFact]:
-        """Take the VM list; returns the facts to spread."""
-        found = []
+        """Apply the VM list; return the facts to spread."""
+        facts = []
         for server, state in listed:
             known = self._facts.get(server)
             if state is states.ServerState.LIVE and known is not None:
@@ -81,12 +83,12 @@
                     continue
             fact = self.record_state(server, state, clock)
             if fact is not None:
-                found.append(fact)
-        return found
+                facts.append(fact)
+        return facts
 
     def retain(self, servers: Iterable[ids.ServerId]) -> None:
-        """Forget servers that the register does not name any more."""
-        kept = frozenset(servers)
+        """Drop the facts of servers that are no longer in the register."""
+        registered = frozenset(servers)
         self._facts = {
-            server: fact for server, fact in self._facts.items() if server in kept
+            server: fact for server, fact in self._facts.items() if server in registered
         }
--- a/celeryspan/decisions/homes.py
+++ b/celeryspan/decisions/homes.py
@@ -1,16 +1,16 @@
-"""Which router keeps the ledger of which backend server.
+"""Assigns each backend server to a home: the router that grants the server's slots.
 
-Load pattern: routers join, die and are replaced by the hundred each day, while every
-backend server needs one place that hands out its slots.
+Hundreds of routers join, fail and are replaced each day, while the slots of a backend
+server must be granted in one place.
 
-Without it each router would spend a share of every server's window, and a share idles
-wherever its router has nothing waiting (0.4% to 2.4% of slot time when measured).
+Without homes each router would manage a share of every server's window, and a share is
+idle whenever its router has no waiting requests (0.4% to 2.4% of slot time).
 
-Rendezvous hashing: every router computes the same owner from the same membership
-without a word exchanged, and when one of n routers leaves, only the servers that it
-kept move, to all others evenly. Two routers whose memberships differ for a moment may
-both act as home; then the server gets at most one window too much, until the views
-agree (see ``fallback.py`` for a lasting split).
+Assignment uses rendezvous hashing: every router computes the same home from the same
+membership without communication. When a router leaves, only its servers move, and they
+spread evenly over the others. Two routers whose memberships differ briefly may both act
+as home; until the views agree the server gets at most one extra window of requests (see
+``fallback.py`` for lasting partitions).
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable, Mapping
 
-# Up to this many homes hear all demand of a service; above, a sample does.
-# Eight homes cost a waiting request 8 x 30 bytes; 440 homes would cost 13 KB.
+# Up to this many homes, a service's demand is sent to all of them; above, to a sample.
+# Eight homes cost 8 x 30 bytes per waiting request; 440 homes would cost 13 KB.
 MAX_UNSAMPLED_HOMES = 8
 
-# Homes in the sample of a larger service. A sample of d homes, renewed each time
-# that nothing is granted, finds a free slot in 1 - (1 - f)**d of the trials when a
-# fraction f of the homes has one: 0.57 at f = 0.1, so two trials on average.
+# Homes in the sample of a larger service. When a fraction f of the homes has a free
+# slot, a sample of d homes contains one with probability 1 - (1 - f)**d: 0.57 at
+# f = 0.1, so two attempts on average. A new sample is drawn after each failed attempt.
 SAMPLE_SIZE = 8
 
 
 class HomeChange(msgspec.Struct, frozen=True):
-    """A backend server whose home changes."""
+    """Change of the home of a backend server."""
 
     server: ids.ServerId
     old: ids.RouterId | None
@@ -52,7 +52,7 @@
 def find_home(
     server: ids.ServerId, live: Iterable[ids.RouterId]
 ) -> ids.RouterId | None:
-    """Return the live router with the highest score, or None if none is live."""
+    """Return the live router with the highest weight, or None if none is live."""
     return max(
         live,
         key=lambda router: (rendezvous_weight(router, server), router),
@@ -73,12 +73,12 @@
 def find_changes(
     old: Mapping[ids.ServerId, ids.RouterId], new: Mapping[ids.ServerId, ids.RouterId]
 ) -> tuple[HomeChange, ...]:
-    """Return the servers whose home differs, in order of their names."""
-    moved = (
+    """Return the servers whose home differs, ordered by server name."""
+    changes = (
         HomeChange(server, old.get(server), new.get(server))
         for server in sorted(old.keys() | new.keys())
     )
-    return tuple(move for move in moved if move.old != move.new)
+    return tuple(change for change in changes if change.old != change.new)
 
 
 def sample_homes(
@@ -87,15 +87,15 @@
     service: ids.ServiceId,
     attempt: int,
 ) -> tuple[ids.RouterId, ...]:
-    """Return the homes of a service that hear this router's demand.
+    """Return the homes of a service that receive this router's demand.
 
     Parameters
     ----------
     homes : collection of RouterId
         Every home of the service's backend servers.
     attempt : int
-        Grows each time that the sample granted nothing for a while, so that demand
-        reaches every home in the end: no home idles for good while work waits.
+        Increases each time that the sample has granted nothing for a while, so that
+        demand eventually reaches every home and none stays idle while requests wait.
     """
     if len(homes) <= MAX_UNSAMPLED_HOMES:
         return tuple(sorted(homes))
@@ -110,16 +110,17 @@
     service: ids.ServiceId,
     turn: int,
 ) -> ids.RouterId | None:
-    """Return the one home that hears of a first waiting request.
+    """Return the one home that is notified of the first waiting request.
 
-    A server is drawn, not a home, so that homes of many servers are asked more often.
+    Draws a server rather than a home, so that homes are chosen in proportion to the
+    number of their servers.
 
     Parameters
     ----------
     homes : mapping
         Home of each server of the service.
     turn : int
-        Differs from request to request, so that the choice spreads.
+        Request counter that varies the choice between requests.
     """
     if not homes:
         return None
--- a/celeryspan/decisions/limits.py
+++ b/celeryspan/decisions/limits.py
@@ -1,14 +1,13 @@
-"""The window of a backend server: how many requests it is given at once.
+"""Adaptive concurrency window of a backend server.
 
-Load pattern: a model engine batches what it is given and queues the rest inside,
-without priorities; it reports its load seconds late.
+A model engine batches the requests it gets and queues the rest internally, without
+priorities, and reports its load with a lag of seconds.
 
-Without it: a window too large moves the waiting into the engine, where no fairness
-reaches it, and slows every stream; a window too small leaves capacity idle; one that
-follows each late report swings between both.
+A window that is too large moves the queue into the engine, where fairness does not
+apply, and slows down every stream. A window that is too small leaves capacity idle. A
+window that follows every stale report oscillates between the two.
 
-Grounds of the figures: stated beside each constant; `docs/design/limits.md` has the
-measurements.
+See `docs/design/limits.md` for the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -21,44 +20,46 @@
 from celeryspan.decisions import pacing
 
 MIN_WINDOW = 1
-"""Least window: one request at a time keeps the server observed."""
+"""Minimum window: one request at a time keeps the server under observation."""
 
 ENGINE_QUEUE_SHARE = 0.1
-"""Requests that may wait inside the engine, as a share of its batch: one is there when
-another ends, and a report that shows them says that the batch is full."""
+"""Requests that may queue inside the engine, as a share of its batch. They replace
+requests that finish, and their presence in a report shows that the batch is full."""
 
 FIRST_GROWTH_SHARE = 0.25
-"""First growth, as a share of the window; it doubles with each growth that follows
-without waiting inside the engine. Growing too far costs one lag of waiting there,
-since the next report says by how much; growing too slowly idles the server for many."""
+"""First growth step, as a share of the window. The step doubles with each further
+growth while no requests queue inside the engine. Growing too far costs one reporting
+lag of queueing, since the next report shows the excess; growing too slowly leaves the
+server idle for many lags."""
 
 MAX_GROWTH_SHARE = 1.0
-"""Greatest growth for one change."""
+"""Maximum growth step, as a share of the window."""
 
 SLOW_STREAM_CUT_SHARE = 0.1
-"""Cut for one change when streams are slower than promised."""
+"""Reduction of the window per change while streams are slower than promised."""
 
 FAILURE_WINDOW_FACTOR = 0.7
-"""Window kept when the server refuses or times out: no report says by how much."""
+"""Factor on the window when the server refuses a request or times out, since no report
+shows the excess then."""
 
 MAX_TOKEN_SECONDS = 0.046
-"""Seconds between two tokens that streams are promised."""
+"""Maximum mean time between two tokens that is promised for streams."""
 
 DECAY = 0.9
-"""Weight kept by earlier streams in the mean time between tokens."""
+"""Weight of earlier streams in the moving average of the time between tokens."""
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What a backend server says about itself.
+    """Load report of a backend server.
 
     Attributes
     ----------
     running, waiting : int
-        Requests in its batch, and inside it but not in the batch yet.
+        Requests in the server's batch, and requests queued inside it.
     tokens_per_second : float
-        Sum over its streams.
+        Total over all streams.
     as_of : float
-        Time at which this was so, on the clock of the receiver, in seconds.
+        Time of the observation on the receiver's clock, in seconds.
     """
 
     slots: int
@@ -72,14 +73,14 @@
 class Window:
     """Window of one server.
 
-    A change is made only by a report of a time after the last change has shown, so that
-    the same overload is answered once. The step is the overload itself, not a guess:
-    what waits inside the engine beyond a small reserve.
+    A report changes the window only if it was taken after the last change could take
+    effect, so that the same overload is corrected once. The window is reduced by the
+    reported overload: the requests queued inside the engine beyond a small reserve.
 
     Parameters
     ----------
-    ceiling : int
-        Slots that the register states; never exceeded.
+    max_size : int
+        Number of slots in the register; never exceeded.
     """
 
     __slots__ = (
@@ -104,12 +105,12 @@
         self.size = max_size
 
     def record_load(self, load: LoadReport, in_use: int, now: float) -> None:
-        """Learn from a load report.
+        """Adjust the window to a load report.
 
         Parameters
         ----------
         in_use : int
-            Slots of the window in use now.
+            Slots of the window currently in use.
         """
         if in_use >= self.size:
             self._full_at = now
@@ -126,7 +127,7 @@
             self._growth = min(MAX_GROWTH_SHARE, 2.0 * self._growth)
 
     def record_end(self, failed: bool, token_seconds: float | None, now: float) -> None:
-        """Learn from the end of a request.
+        """Adjust the window to the end of a request.
 
         Parameters
         ----------
@@ -135,9 +136,9 @@
         token_seconds : float or None
             Mean seconds between two tokens of its stream.
         """
-        paced = now - self._changed_at >= pacing.FeedbackLoop.WINDOW.value.interval
+        may_change = now - self._changed_at >= pacing.FeedbackLoop.WINDOW.value.interval
         if failed:
-            if paced:
+            if may_change:
                 self._resize(int(self.size * FAILURE_WINDOW_FACTOR), now)
             return
         if token_seconds is None:
@@ -147,24 +148,24 @@
         self._token_seconds += (token_seconds - self._token_seconds) * (1.0 - DECAY)
         if self._token_seconds > MAX_TOKEN_SECONDS:
             self._slow_at = now
-            if paced and now - self._changed_at >= self._stream_interval():
+            if may_change and now - self._changed_at >= self._stream_interval():
                 self._resize(
                     self.size - max(1, int(SLOW_STREAM_CUT_SHARE * self.size)), now
                 )
 
     def _stream_interval(self) -> float:
-        """Seconds after which the mean shows a change: the streams must be new ones."""
+        """Return the time until the mean reflects a change, with new streams only."""
         return 5.0 * pacing.FeedbackLoop.WINDOW.value.interval
 
     def _may_grow(self, load: LoadReport, now: float) -> bool:
-        """Grow only a window that is in use, at a server whose streams keep up.
+        """Whether the window is in use and the server's streams keep their token time.
 
-        A window that is not in use has shown nothing; grown, it would let a burst in
-        that the engine has never been seen to bear.
+        An unused window says nothing about the engine's capacity. Growing it would
+        admit a burst of a size that the engine has never handled.
         """
-        limited = now - self._full_at <= now - load.as_of + 1.0
-        slow = now - self._slow_at <= 4.0 * self._stream_interval()
-        return limited and not slow and load.waiting == 0
+        is_in_use = now - self._full_at <= now - load.as_of + 1.0
+        is_slow = now - self._slow_at <= 4.0 * self._stream_interval()
+        return is_in_use and not is_slow and load.waiting == 0
 
     def _resize(self, size: int, now: float) -> None:
         size = max(self._min_size, min(self._max_size, size))
@@ -174,18 +175,18 @@
 
 
 class Windows:
-    """Windows of the servers that a router is home of."""
+    """Windows of the servers whose home is this router."""
 
     def __init__(self) -> None:
         self._windows: dict[ids.ServerId, Window] = {}
 
     def find(self, server: ids.ServerId, max_size: int, now: float) -> Window:
-        """Return the window of a server; a new one starts at its ceiling."""
+        """Return the window of a server; a new window starts at its maximum size."""
         window = self._windows.get(server)
         if window is None:
             window = self._windows[server] = Window(max_size, now)
         return window
 
     def forget(self, server: ids.ServerId) -> None:
-        """Drop the window of a server that is gone or has another home."""
+        """Drop the window of a server that is gone or has a different home."""
         self._windows.pop(server, None)
--- a/celeryspan/decisions/loading.py
+++ b/celeryspan/decisions/loading.py
@@ -1,13 +1,13 @@
-"""Which order a model engine needs, and how many loads the weight store bears.
+"""Chooses orders for model engines and limits concurrent loads from the weight store.
 
-Failure answered: a change of the register calls for a new version on a hundred
-engines. Ordered all at once they read from the weight store together, which limits
-its rate; each load then takes a hundred times as long, and the service has no engine
-meanwhile. Loads are therefore begun one after the other, by the one holder of the
-duty, which makes the limit hold over the whole fleet.
+A change of the register can require a new version on a hundred engines. If all of them
+load at once, they share the limited rate of the weight store, each load takes a hundred
+times as long, and the service has no engine meanwhile. Loads are therefore started one
+after another by the single router that holds the duty, so that the limit applies to the
+whole fleet.
 
-Orders are idempotent: each names the whole wanted state, and none is sent to an engine
-that reports it already.
+Orders are idempotent: each one specifies the complete desired state, and no order is
+sent to an engine that already reports this state.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 import msgspec
 
 LOAD_INTERVAL_SECONDS = 10.0
-"""Least time between the beginnings of two loads."""
+"""Minimum time between the starts of two loads."""
 
 MAX_CONCURRENT_LOADS = 2
-"""Loads under way at once over the fleet, as far as engines have reported them."""
+"""Maximum number of concurrent loads in the fleet, as reported by the engines."""
 
 
 class OrderKind(enum.Enum):
@@ -31,7 +31,7 @@
 
 
 class DesiredState(msgspec.Struct, frozen=True):
-    """What an engine should have loaded and be; empty texts are no wish."""
+    """Desired state of an engine; an empty field leaves that part unspecified."""
 
     model: str
     adapters: tuple[str, ...] = ()
@@ -40,7 +40,7 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine reports of itself."""
+    """State that an engine reports."""
 
     model: str
     adapters: tuple[str, ...]
@@ -51,7 +51,7 @@
 
 
 def choose_order(wanted: DesiredState, state: EngineState) -> OrderKind | None:
-    """Return the order that brings an engine closer to what is wanted, or None."""
+    """Return the order that brings an engine closer to the desired state, or None."""
     if not wanted.model or state.loading:
         return None
     if state.model != wanted.model or set(state.adapters) != set(wanted.adapters):
@@ -64,13 +64,13 @@
 
 
 class LoadLimiter:
-    """Admits loads at the rate that the weight store bears.
+    """Limits the rate and the number of concurrent loads from the weight store.
 
     Parameters
     ----------
     now : float
-        When this router took the duty: an earlier holder may have begun a load just
-        before, so that the first one waits too.
+        Time at which this router took the duty. The previous holder may have started a
+        load just before, so the first load waits for a full interval too.
     """
 
     def __init__(self, now: float) -> None:
@@ -78,14 +78,14 @@
         self._loading: set[str] = set()
 
     def update(self, server: str, *, loading: bool) -> None:
-        """Note what an engine reports."""
+        """Record whether an engine reports that it is loading."""
         if loading:
             self._loading.add(server)
         else:
             self._loading.discard(server)
 
     def try_begin(self, server: str, now: float) -> bool:
-        """Take leave to begin one load, if there is any."""
+        """Reserve the start of one load; False if the limits do not permit it now."""
         if now < self._next_at or len(self._loading) >= MAX_CONCURRENT_LOADS:
             return False
         self._next_at = now + LOAD_INTERVAL_SECONDS
--- a/celeryspan/decisions/outages.py
+++ b/celeryspan/decisions/outages.py
@@ -1,13 +1,13 @@
-"""When a router may call the object API, and when it waits after a failure.
+"""Call budget and circuit breaker for the object API.
 
-Failure answered: the object API is down, slow or losing answers, for seconds or for
-hours. Without this module each request that needs the store waits a whole timeout,
-so that the threads of a router fill with waiting callers, and when the store is back
-1,300 routers call it in the same second and push it over again.
+The object API may be down, slow or losing answers, for seconds or for hours. Without
+this module each request that needs the store waits for a whole timeout, and the threads
+of a router fill up with waiting callers. When the store is back, 1,300 routers call it
+in the same second and overload it again.
 
-Grounds of the figures: the store takes several hundred writes and about two thousand
-reads a second. Routers whose waits are drawn from the whole interval up to 15 s come
-back at 1,300 / 7.5 = 173 first calls a second, a tenth of what the store takes.
+The store handles several hundred writes and about 2,000 reads a second. With delays
+drawn from the whole interval up to 15 s, routers return at 1,300 / 7.5 = 173 first
+calls a second, a tenth of the store's capacity.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 import msgspec
 
 CALLS_PER_SECOND = 1.0
-"""Background calls a second that one router may make for long: 1,300 of them stay
-under the two thousand reads a second that the store takes."""
+"""Sustained background calls a second of one router: 1,300 routers stay below the 2,000
+reads a second that the store handles."""
 
 BURST_CALLS = 20.0
-"""Calls that a router may make at once: a start reads index, chunks and members."""
+"""Burst of calls of one router: at its start it reads index, chunks and members."""
 
 FIRST_DELAY_MAX_SECONDS = 0.2
-"""Greatest wait after a first failure, in seconds: a lost packet costs no more."""
+"""Maximum delay after a first failure: the most that a lost packet costs."""
 
 DELAY_MAX_SECONDS = 15.0
-"""Greatest wait between two attempts of one router, in seconds."""
+"""Maximum delay between two attempts of one router."""
 
 
 class CallBudget(msgspec.Struct):
-    """Token bucket of the calls of one router.
+    """Token bucket for the calls of one router.
 
     Attributes
     ----------
     rate : float
-        Calls a second.
+        Tokens added per second.
     burst : float
-        Greatest number of calls saved up.
+        Capacity of the bucket.
     """
 
     rate: float = CALLS_PER_SECOND
@@ -47,7 +47,7 @@
     _refilled_at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Take one call if one is left."""
+        """Take a token for one call; False if the bucket is empty."""
         if self._tokens < 0:
             self._tokens, self._refilled_at = self.burst, now
         elapsed = max(0.0, now - self._refilled_at)
@@ -60,23 +60,23 @@
 
 
 class CircuitBreaker(msgspec.Struct):
-    """Holds calls back while the store does not answer.
+    """Rejects calls while the store does not answer.
 
-    One call after each wait goes through to try the store; all others are refused at
-    once. The wait is drawn anew from the whole interval each time ("full jitter"), so
-    that routers which failed together do not try together.
+    After each delay one call passes to probe the store; all others are rejected
+    immediately. Each delay is drawn from the whole interval (full jitter), so that
+    routers that failed together do not retry together.
 
     Attributes
     ----------
     failures : int
-        Failures in a row.
+        Consecutive failures.
     """
 
     failures: int = 0
     _open_until: float = 0.0
 
     def try_acquire(self, now: float) -> bool:
-        """Whether a call may be sent; while failing, reserves the one attempt."""
+        """Whether a call may be sent; while the store fails, reserves the probe."""
         if self.failures == 0:
             return True
         if now < self._open_until:
@@ -85,25 +85,25 @@
         return True
 
     def record_success(self) -> bool:
-        """Note an answer; returns whether this ends an outage."""
+        """Record an answer; return whether it ends an outage."""
         ended = self.failures > 0
         self.failures = 0
         return ended
 
     def record_failure(self, now: float, generator: random.Random) -> bool:
-        """Note a missing answer; returns whether this begins an outage."""
+        """Record a missing answer; return whether it begins an outage."""
         self.failures += 1
         self._open_until = now + draw_delay(self.failures, generator)
         return self.failures == 1
 
 
 def max_delay(failures: int) -> float:
-    """Return the greatest wait after a number of failures in a row, in seconds."""
+    """Return the maximum delay after consecutive failures, in seconds."""
     return min(
         DELAY_MAX_SECONDS, FIRST_DELAY_MAX_SECONDS * 2.0 ** min(failures - 1, 16)
     )
 
 
 def draw_delay(failures: int, generator: random.Random) -> float:
-    """Draw the wait after a number of failures in a row, in seconds."""
+    """Draw a random delay after consecutive failures, in seconds."""
     return generator.uniform(0.0, max_delay(failures))
--- a/celeryspan/decisions/outcomes.py
+++ b/celeryspan/decisions/outcomes.py
@@ -1,14 +1,15 @@
-"""What may be said about whether a request ran.
-
-Load and faults it answers: connections cut, silent or refused at any step of a
-request, answers lost, servers leaving. Without one place that knows how far a request
-has come, some path answers "not run" for a request whose bytes have left, and a
-caller books a second time.
-
-The rule: "not run" may be said only while it is certain that no byte of the request
-has left, or after the backend server itself said that it declined; "ran" only once
-the answer proves it (a head alone does not: some services send it before they act);
-"unknown" otherwise. A request that is not idempotent is exposed to a server once.
+"""State machine that determines the reported outcome of a request.
+
+Connections may be cut, silent or refused at any step of a request, answers may be lost
+and servers may leave. Without a single record of a request's progress, some code path
+reports "not run" for a request whose bytes have been sent, and the caller books a
+second time.
+
+A request is reported as "not run" only while it is certain that none of its bytes have
+been sent, or after the backend server has declined it. It is reported as "ran" only
+once the answer proves it; the response head alone does not, since some services send it
+before they act. Otherwise the outcome is "unknown". A request that is not idempotent is
+exposed to at most one server that has not declined it.
 """
 
 from __future__ import annotations
@@ -19,23 +20,26 @@
 
 
 class IllegalTransition(Exception):
-    """A step was asked for that would break the rule; nothing was changed."""
+    """Raised for a transition that the current state does not permit.
+
+    The state is unchanged.
+    """
 
 
 class RequestProgress:
-    """How far one request has come.
+    """Progress of one request.
 
-    Steps are called before the action that they stand for, so that a fault in the
-    middle of an action finds the more careful state.
+    Each transition is recorded before the action that it stands for, so that a fault
+    during the action leaves the more conservative state.
 
     Attributes
     ----------
     state : RequestState
         The current state.
     sends : int
-        How often the request has been written to a backend server.
+        Number of times that the request has been sent to a backend server.
     exposed : bool
-        Whether some written byte may have reached a server that has not declined.
+        Whether any bytes may have reached a server that has not declined the request.
     """
 
     def __init__(self, *, idempotent: bool) -> None:
@@ -48,60 +52,58 @@
 
     @property
     def outcome(self) -> states.Outcome:
-        """What may be said at this moment."""
+        """Outcome that can be reported in the current state."""
         if self._ran:
             return states.Outcome.RAN
         return states.Outcome.UNKNOWN if self.exposed else states.Outcome.NOT_RUN
 
     @property
     def may_send(self) -> bool:
-        """Whether another server may be given the request."""
+        """Whether the request may be sent to another server."""
         return not self._ran and (self.idempotent or not self.exposed)
 
     def grant(self) -> None:
-        """Note that a slot was given."""
+        """Record that a slot was granted."""
         self._transition({_State.QUEUED}, _State.GRANTED)
 
     def release(self) -> None:
-        """Note that the slot goes back unused: nothing was written."""
+        """Record that the slot is returned unused and nothing was sent."""
         self._transition({_State.GRANTED}, _State.QUEUED)
 
     def send(self) -> None:
-        """Note that the first byte leaves now."""
+        """Record that the first byte is about to be sent."""
         if not self.may_send:
-            raise IllegalTransition(
-                "a request that may have run must not be sent again"
-            )
+            raise IllegalTransition("cannot resend a request that may have run")
         self._transition({_State.GRANTED}, _State.SENT)
         self.sends += 1
         self._exposed_before_send = self.exposed
         self.exposed = True
 
     def record_decline(self) -> None:
-        """Note that the server says it did not run what was last sent.
+        """Record that the server declined the last send without running the request.
 
-        What an earlier send may have done stays unknown.
+        The effect of earlier sends remains unknown.
         """
         self._transition({_State.SENT}, _State.QUEUED)
         self.exposed = self._exposed_before_send
 
     def record_connection_loss(self) -> None:
-        """Note that the connection failed before it was known that the server ran."""
+        """Record that the connection failed before the answer proved a run."""
         if self._ran:
-            raise IllegalTransition("an answer that proves the run can't be taken back")
+            raise IllegalTransition("cannot lose a request that is confirmed as run")
         self._transition({_State.SENT, _State.ANSWERING}, _State.QUEUED)
 
     def answer(self) -> None:
-        """Note that the first bytes of an answer are here."""
+        """Record that the first bytes of an answer have arrived."""
         self._transition({_State.SENT}, _State.ANSWERING)
 
     def confirm(self) -> None:
-        """Note that the answer proves the run: it is whole, or holds tokens."""
+        """Record that the answer proves a run: it is complete or contains tokens."""
         self._transition({_State.ANSWERING}, _State.ANSWERING)
         self._ran = True
 
     def settle(self) -> states.Outcome:
-        """End the request, in whatever state, and return its outcome."""
+        """End the request in any state and return its outcome."""
         self.state = _State.SETTLED
         return self.outcome
 
@@ -109,5 +111,7 @@
         self, sources: set[states.RequestState], to: states.RequestState
     ) -> None:
         if self.state not in sources:
-            raise IllegalTransition(f"no way from {self.state.value} to {to.value}")
+            raise IllegalTransition(
+                f"illegal transition: {self.state.value} -> {to.value}"
+            )
         self.state = to
--- a/celeryspan/decisions/outliers.py
+++ b/celeryspan/decisions/outliers.py
@@ -1,15 +1,14 @@
-"""Backend servers that fail or are far slower than their peers get no new work.
+"""Outlier detection: ejects backend servers that fail or are too slow.
 
-Load pattern: one server of a service answers with errors, goes silent, or runs at a
-fraction of the speed of the others; long jobs run among short ones.
+A server may answer with errors, stop answering, or run at a fraction of the speed of
+the others, while long jobs run among short ones.
 
-Without it: a failing server is the fastest to be free again and draws all requests
-(a black hole); a slow one holds slots and callers; ejection without a floor removes a
-whole service when all its servers are slow at once; judging by seconds alone ejects
-the server that happens to run the long jobs.
+Without ejection a failing server is the first to be free again and attracts all
+requests (a black hole), and a slow server holds slots and callers. Ejection without a
+limit removes a whole service when all its servers are slow at once. Judging by elapsed
+time alone ejects the server that happens to run the long jobs.
 
-Grounds of the figures: stated beside each constant; `docs/design/outliers.md` has the
-measurements.
+See `docs/design/outliers.md` for the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -23,41 +22,43 @@
 from celeryspan.decisions import pacing
 
 MAX_CONSECUTIVE_FAILURES = 5
-"""Failures that eject a server: with one in ten requests failing by chance, five in a
-row come once in 100,000 requests."""
+"""Consecutive failures that eject a server: if one in ten requests fails at random,
+five in a row occur once in 100,000 requests."""
 
 MAX_FAILURE_SHARE = 0.5
-"""Share of recent requests that failed, above which a server is ejected."""
+"""Share of failed recent requests above which a server is ejected."""
 
 MAX_SLOWNESS_FACTOR = 3.0
-"""Seconds per cost unit over the median of the service that eject a server."""
+"""Ratio of a server's seconds per cost unit to the median of its peers above which it
+is ejected."""
 
 MIN_SAMPLES = 10
-"""Ended requests before a server is judged by its mean."""
+"""Finished requests needed before a server is judged by its averages."""
 
 MIN_RUNNING_SECONDS = 10.0
-"""Sum of the ages of running requests before their speed counts: a server ten times too
-slow ends its tenth request after minutes, but shows within a second with 16 running."""
+"""Total age of the running requests from which their speed counts. A server that is ten
+times too slow finishes its tenth request only after minutes, but with 16 requests
+running it is detected within a second."""
 
 DECAY = 0.9
-"""Weight kept by earlier requests at each new one: about ten requests count."""
+"""Decay of earlier requests at each new one: about the last ten requests count."""
 
 MIN_ACTIVE_SHARE = 0.5
-"""Share of a service's servers that is never ejected: one half carries the load at
-twice the wait, a third would be overloaded and look slow in turn."""
+"""Share of a service's servers that is never ejected: half of them carry the load at
+twice the wait time, but a third would be overloaded and look slow as well."""
 
 FIRST_EJECTION_SECONDS = 10.0
-"""First ejection; doubles with each that follows."""
+"""Duration of a first ejection; it doubles with each further ejection."""
 
 MAX_EJECTION_SECONDS = 300.0
-"""Longest ejection: a repaired server is back within five minutes."""
+"""Maximum duration of an ejection: a repaired server returns within five minutes."""
 
 TRIAL_ANSWERS = 3
-"""Answers in a row, one at a time, that end a trial."""
+"""Consecutive answers, one request at a time, that end a trial."""
 
 
 class Standing(enum.Enum):
-    """Whether a server gets new work."""
+    """Whether a server gets new requests."""
 
     GOOD = "good"
     EJECTED = "ejected"
@@ -65,7 +66,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A server's standing changed."""
+    """Change of a server's standing."""
 
     server: ids.ServerId
     standing: Standing
@@ -100,11 +101,11 @@
 
     @property
     def has_enough_samples(self) -> bool:
-        """Enough samples: the decayed count tends to ``1 / (1 - MEMORY)``."""
+        """Whether there are enough samples; the count tends to ``1 / (1 - DECAY)``."""
         return self.samples >= (1.0 - DECAY**MIN_SAMPLES) / (1.0 - DECAY) * 0.99
 
     def ended_seconds_per_unit(self) -> float | None:
-        """Return seconds per cost unit of ended requests, if enough have ended."""
+        """Return seconds per cost unit of finished requests, or None if too few."""
         return (
             self.seconds / self.units
             if self.has_enough_samples and self.units
@@ -112,14 +113,14 @@
         )
 
     def running_seconds_per_unit(self) -> float | None:
-        """Return seconds per cost unit of running requests, if they run long enough."""
+        """Return seconds per cost unit of running requests, or None if too recent."""
         if self.running_seconds < MIN_RUNNING_SECONDS or not self.running_units:
             return None
         return self.running_seconds / self.running_units
 
 
 class OutlierDetector:
-    """Judges the servers of one service by their answers."""
+    """Detects outliers among the servers of one service."""
 
     def __init__(self) -> None:
         self._servers: dict[ids.ServerId, _ServerStats] = {}
@@ -127,15 +128,15 @@
         self._trial_limiter = pacing.RateLimiter(pacing.FeedbackLoop.READMISSION.value)
 
     def add(self, server: ids.ServerId, now: float) -> None:
-        """Begin to judge a server."""
+        """Start monitoring a server."""
         self._servers.setdefault(server, _ServerStats())
 
     def remove(self, server: ids.ServerId) -> None:
-        """Forget a server that is gone."""
+        """Drop the state of a server that is gone."""
         self._servers.pop(server, None)
 
     def servers(self) -> set[ids.ServerId]:
-        """Return the servers that are judged."""
+        """Return the monitored servers."""
         return set(self._servers)
 
     def record(
@@ -146,136 +147,143 @@
         cost: float,
         now: float,
     ) -> list[Change]:
-        """Take in the end of a request; return changes that follow.
+        """Record the end of a request; return the resulting changes.
 
         Parameters
         ----------
         failed : bool
-            Whether the server was at fault.
+            Whether the request failed because of the server.
         seconds : float
-            Time from sending to the end.
+            Time from sending the request to its end.
         cost : float
-            True cost in cost units: slowness is seconds per unit, so that a server is
-            not blamed for long jobs.
+            Actual cost in cost units. Slowness is measured in seconds per unit, so that
+            long jobs do not count against a server.
         """
-        one = self._servers.setdefault(server, _ServerStats())
-        one.record(failed, seconds, cost)
-        if one.standing is Standing.TRIAL:
-            return self._update_trial(server, one, failed, now)
-        return self._eject_if_faulty(server, one, now)
+        stats = self._servers.setdefault(server, _ServerStats())
+        stats.record(failed, seconds, cost)
+        if stats.standing is Standing.TRIAL:
+            return self._update_trial(server, stats, failed, now)
+        return self._eject_if_faulty(server, stats, now)
 
     def record_running(
         self, server: ids.ServerId, seconds: float, units: float, now: float
     ) -> list[Change]:
-        """Take in what runs at a server; return changes that follow.
+        """Record the progress of running requests; return the resulting changes.
 
-        A server that is far too slow, or silent, ends nothing by which it could be
-        judged; its running streams show it. Call about once a second.
+        A server that is far too slow or silent finishes no requests by which it could
+        be judged, but its running streams show it. Call this about once a second.
 
         Parameters
         ----------
         seconds : float
-            Sum of the times since its running requests gave their first unit: the
-            time before it depends on the prompt.
+            Sum of the times since the first cost unit of each running request. The time
+            before the first unit depends on the prompt and is left out.
         units : float
-            Sum of the cost units that they have given so far; 0 for plain calls.
+            Sum of the cost units produced so far; 0 for plain calls.
         """
-        one = self._servers.setdefault(server, _ServerStats())
-        one.running_seconds, one.running_units = seconds, units
-        if one.standing is not Standing.GOOD:
+        stats = self._servers.setdefault(server, _ServerStats())
+        stats.running_seconds, stats.running_units = seconds, units
+        if stats.standing is not Standing.GOOD:
             return []
-        return self._eject_if_faulty(server, one, now)
+        return self._eject_if_faulty(server, stats, now)
 
     def _eject_if_faulty(
-        self, server: ids.ServerId, one: _ServerStats, now: float
+        self, server: ids.ServerId, stats: _ServerStats, now: float
     ) -> list[Change]:
-        reason = self._find_ejection_reason(server, one)
-        if one.standing is Standing.EJECTED or reason is None:
+        reason = self._find_ejection_reason(server, stats)
+        if stats.standing is Standing.EJECTED or reason is None:
             return []
         if not self._may_eject(now):
             return []
-        return [self._eject(server, one, reason, now)]
+        return [self._eject(server, stats, reason, now)]
 
     def start_due_trials(self, now: float) -> list[Change]:
-        """Return changes that are due by time: trials after an ejection."""
+        """Start the trials of servers with expired ejections; return the changes."""
         changes = []
-        for server, one in self._servers.items():
-            due = one.standing is Standing.EJECTED and now >= one.ejected_until
+        for server, stats in self._servers.items():
+            due = stats.standing is Standing.EJECTED and now >= stats.ejected_until
             if due and self._trial_limiter.allow("service", now):
-                one.standing = Standing.TRIAL
-                one.reset()
-                changes.append(Change(server, Standing.TRIAL, "time is over"))
+                stats.standing = Standing.TRIAL
+                stats.reset()
+                changes.append(Change(server, Standing.TRIAL, "ejection expired"))
         return changes
 
     def standing(self, server: ids.ServerId) -> Standing:
-        """Return the standing of a server; one never seen is good."""
-        one = self._servers.get(server)
-        return one.standing if one else Standing.GOOD
+        """Return the standing of a server; an unknown server is good."""
+        stats = self._servers.get(server)
+        return stats.standing if stats else Standing.GOOD
 
     def slots(self, server: ids.ServerId, window: int) -> int:
-        """Return how many slots of a window may be used: one during a trial."""
+        """Return the usable slots of a window: one during a trial, none if ejected."""
         standing = self.standing(server)
         if standing is Standing.EJECTED:
             return 0
         return min(window, 1) if standing is Standing.TRIAL else window
 
     def _find_ejection_reason(
-        self, server: ids.ServerId, one: _ServerStats
+        self, server: ids.ServerId, stats: _ServerStats
     ) -> str | None:
-        if one.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
-            return f"{one.consecutive_failures} failures in a row"
-        if one.has_enough_samples and one.failures > MAX_FAILURE_SHARE * one.samples:
+        if stats.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+            return f"{stats.consecutive_failures} consecutive failures"
+        if (
+            stats.has_enough_samples
+            and stats.failures > MAX_FAILURE_SHARE * stats.samples
+        ):
             return "more than half of its requests failed"
-        if self._is_slow(server, one):
+        if self._is_slow(server, stats):
             return "far slower than its peers"
         return None
 
-    def _is_slow(self, server: ids.ServerId, one: _ServerStats) -> bool:
-        """Compare with the median of the others, which one slow server cannot move."""
+    def _is_slow(self, server: ids.ServerId, stats: _ServerStats) -> bool:
+        """Compare with the median of the peers, which one slow server cannot shift."""
         peers = [peer for name, peer in self._servers.items() if name != server]
         return _is_outlier(
-            one.ended_seconds_per_unit(),
+            stats.ended_seconds_per_unit(),
             [peer.ended_seconds_per_unit() for peer in peers],
         ) or _is_outlier(
-            one.running_seconds_per_unit(),
+            stats.running_seconds_per_unit(),
             [peer.running_seconds_per_unit() for peer in peers],
         )
 
     def _may_eject(self, now: float) -> bool:
-        """Keep half of a service whatever its servers answer.
+        """Whether another ejection leaves enough servers and respects the rate limit.
 
-        If all fail, the cause is the path or the requests; ejecting all would turn a
-        partial failure into a whole one.
+        If all servers fail, the cause is the network or the requests, and ejecting all
+        of them would turn a partial failure into a complete one.
         """
-        out = sum(one.standing is not Standing.GOOD for one in self._servers.values())
-        if len(self._servers) - out - 1 < MIN_ACTIVE_SHARE * len(self._servers):
+        inactive = sum(
+            stats.standing is not Standing.GOOD for stats in self._servers.values()
+        )
+        if len(self._servers) - inactive - 1 < MIN_ACTIVE_SHARE * len(self._servers):
             return False
         return self._ejection_limiter.allow("service", now)
 
     def _eject(
-        self, server: ids.ServerId, one: _ServerStats, reason: str, now: float
+        self, server: ids.ServerId, stats: _ServerStats, reason: str, now: float
     ) -> Change:
-        seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2.0**one.ejections)
-        one.ejections += 1
-        one.standing = Standing.EJECTED
-        one.ejected_until = now + seconds
+        seconds = min(
+            MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2.0**stats.ejections
+        )
+        stats.ejections += 1
+        stats.standing = Standing.EJECTED
+        stats.ejected_until = now + seconds
         return Change(server, Standing.EJECTED, reason)
 
     def _update_trial(
-        self, server: ids.ServerId, one: _ServerStats, failed: bool, now: float
+        self, server: ids.ServerId, stats: _ServerStats, failed: bool, now: float
     ) -> list[Change]:
-        if failed or self._is_slow(server, one):
-            return [self._eject(server, one, "failed its trial", now)]
-        one.trial_answers += 1
-        if one.trial_answers < TRIAL_ANSWERS:
+        if failed or self._is_slow(server, stats):
+            return [self._eject(server, stats, "failed its trial", now)]
+        stats.trial_answers += 1
+        if stats.trial_answers < TRIAL_ANSWERS:
             return []
-        one.standing = Standing.GOOD
-        one.ejections = max(0, one.ejections - 1)
+        stats.standing = Standing.GOOD
+        stats.ejections = max(0, stats.ejections - 1)
         return [Change(server, Standing.GOOD, "passed its trial")]
 
 
 def _is_outlier(mine: float | None, others: list[float | None]) -> bool:
-    known = [one for one in others if one is not None]
+    known = [value for value in others if value is not None]
     if mine is None or not known:
         return False
     return mine > MAX_SLOWNESS_FACTOR * statistics.median(known)
--- a/celeryspan/decisions/routing.py
+++ b/celeryspan/decisions/routing.py
@@ -1,18 +1,18 @@
-"""Which request suits which backend server, by cached prompt prefix and load.
+"""Prefix affinity: matches requests to backend servers by prompt cache and load.
 
-Load pattern: many prompts share long prefixes (a farm's season history, an airport's
-stand plan), and one prefix may be hot enough to fill several servers.
+Many prompts share long prefixes (a farm's season history, an airport's stand plan), and
+one prefix may be hot enough to fill several servers.
 
-Without it: each prompt is computed anew wherever a slot is free; or all prompts of a
-hot prefix wait for the one server that has it while others idle; or routers that have
-just started send everything to the same server.
+Without affinity each prompt is recomputed wherever a slot is free. With strict affinity
+all prompts of a hot prefix wait for the one server that caches it while others idle.
+Without a shared tie-break, routers that have just started send everything to the same
+server.
 
-A slot that falls free is never left idle for the sake of a prefix: among the waiting
-requests of the granted account the one goes that loses most if it runs elsewhere, and
-any request goes before none. So a hot prefix spreads to as many servers as it fills.
+A free slot is never left idle to preserve affinity. Among the waiting requests of the
+granted account, the one that would lose most on another server is sent; any request is
+better than none. A hot prefix thus spreads to as many servers as it fills.
 
-Grounds of the figures: stated beside each constant; `docs/design/routing.md` has the
-measurements.
+See `docs/design/routing.md` for the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -28,26 +28,27 @@
 from celeryspan.decisions import pacing
 
 MAX_PAIRS = 20_000
-"""Pairs of block and server that are remembered: 8 MB at the 409 bytes of a block with
-one holder, a quarter of a node's memory for control."""
+"""Maximum number of (block, server) pairs: 8 MB at 409 bytes for a block with one
+holder, a quarter of a node's memory budget for control data."""
 
 GAP_CONFIDENCE_FACTOR = 0.7
-"""Trust kept after a gap: what it hid is a small part of what a server has stored."""
+"""Factor on the confidence after a gap in the events: the missed events concern a small
+part of what a server has stored."""
 
 MIN_CONFIDENCE = 0.2
-"""Least trust: a prefix that may be cached still goes before one that is not."""
+"""Minimum confidence: a prefix that may be cached still ranks above one that is not."""
 
 OBSERVATION_WEIGHT = 0.2
-"""Weight of one answer in the trust: answers show what was cached, and five of them
-outweigh the gaps between."""
+"""Weight of one answer in the confidence: answers report how much was cached, and five
+of them outweigh the gaps in between."""
 
 FULL_WINDOW_PENALTY_BLOCKS = 8.0
-"""Blocks that a server must save to be preferred over one that is idle, when its own
-window is full: about the time in which the next slot falls free."""
+"""Cached blocks that make a server with a full window equal to an idle one: about the
+time until its next slot is released."""
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A block of a prompt that a server has stored or evicted."""
+    """Reports that a server has stored or evicted a prompt block."""
 
     sequence: int
     stored: bool
@@ -55,14 +56,14 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A server with room for a request.
+    """A server considered for a request.
 
     Attributes
     ----------
     window : int
-        Requests that it is given at once.
+        Maximum number of concurrent requests.
     in_use : int
-        Requests that it has now.
+        Current number of requests.
     """
 
     server: ids.ServerId
@@ -71,16 +72,18 @@
 
 
 class CacheMap:
-    """What the servers of this router's services have cached, as far as is known.
+    """Estimates which prompt blocks the servers of this router's services have cached.
 
-    Each block maps to the servers that are believed to have it, so that the best one
-    elsewhere is found without asking all. A gap in a server's events lowers the trust
-    in all that it stored before; an answer that shows a block cached restores it.
+    Each block maps to the servers that are assumed to hold it, so that the best other
+    server is found without checking all of them. A gap in a server's events lowers the
+    confidence in everything it stored before; answers that report cached blocks restore
+    it.
 
     Parameters
     ----------
-    max_blocks : int
-        Pairs of block and server that are remembered; the oldest go first.
+    max_pairs : int
+        Maximum number of (block, server) pairs; the least recently used blocks are
+        dropped first.
     """
 
     def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
@@ -99,10 +102,10 @@
         last: int,
         now: float,
     ) -> None:
-        """Take in cache events of one server; ``last`` is the newest it has.
+        """Apply cache events of one server; ``last`` is its newest sequence number.
 
-        A number that is missed, or one lower than the last (the server has started
-        again), is a gap.
+        A missing sequence number is a gap. A ``last`` lower than before means that the
+        server has restarted with an empty cache.
         """
         del now
         known = self._last_sequences.get(server, 0)
@@ -124,21 +127,22 @@
         self._last_sequences[server] = last
 
     def last_sequence(self, server: ids.ServerId) -> int:
-        """Return the number after which to ask the server for events."""
+        """Return the sequence number after which to request events from a server."""
         return self._last_sequences.get(server, 0)
 
     def record_sent(
         self, server: ids.ServerId, prefix: Sequence[int], now: float
     ) -> int:
-        """Expect a prompt's blocks at the server that it was sent to.
+        """Assume that a server caches the blocks of a prompt sent to it.
 
-        Its own event comes seconds later; until then further prompts of the same prefix
-        would be spread over all servers.
+        The server's own event arrives seconds later. Until then, further prompts with
+        the same prefix would be spread over all servers.
 
         Returns
         -------
         int
-            Blocks that the server was believed to have before, for :meth:`observe`.
+            Number of leading blocks that the server was assumed to hold before, for
+            :meth:`record_cached`.
         """
         del now
         expected = self._count_blocks(server, prefix)
@@ -147,32 +151,33 @@
         return expected
 
     def record_cached(self, server: ids.ServerId, expected: int, cached: int) -> None:
-        """Learn from an answer how many blocks of a prompt were cached.
+        """Update the confidence from the cached blocks that an answer reports.
 
-        What was believed when the prompt was sent counts: afterwards the server has
-        all of it, and each first prompt would look like a broken promise.
+        The report is compared with the estimate from before the prompt was sent. The
+        estimate after sending includes every block, so each new prompt would count as a
+        cache miss.
 
         Parameters
         ----------
         expected : int
-            What :meth:`sent` returned.
+            Return value of :meth:`record_sent`.
         """
         if not expected:
             return
-        shown = min(1.0, cached / expected)
-        trust = self._confidence.get(server, 1.0)
-        trust += (shown - trust) * OBSERVATION_WEIGHT
-        self._confidence[server] = max(MIN_CONFIDENCE, trust)
+        hit_share = min(1.0, cached / expected)
+        confidence = self._confidence.get(server, 1.0)
+        confidence += (hit_share - confidence) * OBSERVATION_WEIGHT
+        self._confidence[server] = max(MIN_CONFIDENCE, confidence)
 
     def forget(self, server: ids.ServerId) -> None:
-        """Drop what is known of a server that is gone or has restarted."""
+        """Drop the state of a server that is gone or has restarted."""
         for block in [one for one, held in self._holders.items() if server in held]:
             self._discard(server, block)
         self._last_sequences.pop(server, None)
         self._confidence.pop(server, None)
 
     def expected_blocks(self, server: ids.ServerId, prefix: Sequence[int]) -> float:
-        """Return the expected number of a prompt's blocks that a server has."""
+        """Return the expected number of a prompt's blocks that a server has cached."""
         return self._count_blocks(server, prefix) * self._confidence.get(server, 1.0)
 
     def max_expected_elsewhere(
@@ -191,7 +196,7 @@
         return depth * max(self._confidence.get(one, 1.0) for one in others)
 
     def count_pairs(self) -> int:
-        """Return how many pairs of block and server are remembered."""
+        """Return the number of stored (block, server) pairs."""
         return self._pair_count
 
     def _count_blocks(self, server: ids.ServerId, prefix: Sequence[int]) -> int:
@@ -218,16 +223,16 @@
             del self._holders[block]
 
     def _lower_confidence(self, server: ids.ServerId) -> None:
-        trust = self._confidence.get(server, 1.0) * GAP_CONFIDENCE_FACTOR
-        self._confidence[server] = max(MIN_CONFIDENCE, trust)
+        confidence = self._confidence.get(server, 1.0) * GAP_CONFIDENCE_FACTOR
+        self._confidence[server] = max(MIN_CONFIDENCE, confidence)
 
 
 def _count_leading(length: int, is_held: Callable[[int], bool]) -> int:
-    """Return how many leading blocks are held, by bisection.
+    """Return the number of leading blocks that are held, by bisection.
 
-    A block is stored after the blocks before it and evicted before them, so that the
-    held ones are a prefix; where a gap has hidden an eviction, the count is a guess, as
-    is all that is known of that server.
+    A block is stored after its predecessors and evicted before them, so the held blocks
+    form a prefix. If a gap has hidden an eviction the count is only an estimate, as is
+    everything else known about that server.
     """
     low, high = 0, length
     while low < high:
@@ -240,17 +245,17 @@
 
 
 class AffinityRouting:
-    """Chooses requests for servers and servers for requests."""
+    """Chooses requests for servers, and servers for requests, by prefix affinity."""
 
     def __init__(self, cache: CacheMap) -> None:
         self._cache = cache
         self._limiter = pacing.RateLimiter(pacing.FeedbackLoop.AFFINITY.value)
 
     def affinity(self, server: ids.ServerId, work: dispatch.Work) -> float:
-        """Return the blocks lost if a request ran elsewhere than on a granted server.
+        """Return the cached blocks lost if a request does not run on the given server.
 
-        Counting only what this server has would let it take prompts that another has
-        cached as well, and leave it those that nobody has.
+        Counting only the blocks on this server would prefer prompts that another server
+        has cached as well.
         """
         if not work.prefix:
             return 0.0
@@ -264,12 +269,12 @@
         now: float,
         rng: random.Random,
     ) -> ids.ServerId | None:
-        """Choose one of several servers with room; None if there is none.
+        """Choose among the servers with free slots; None if there are none.
 
-        Used where several servers have room: to ask the home of the best one first, and
-        where no home grants slots. Saved blocks count against the load; without
-        any knowledge the choice follows the prefix over the servers, so that routers
-        that have just started agree, and different prefixes spread.
+        Used to ask the home of the best server first, and where no home grants slots.
+        Cached blocks are weighed against load. Without cache data the choice is a
+        rendezvous hash of the prefix, so that routers that have just started agree and
+        different prefixes spread over the servers.
         """
         free = [
             item
@@ -301,9 +306,9 @@
 
 
 def rendezvous_weight(server: ids.ServerId, block: int) -> float:
-    """Return a number from 0 to 1 that orders servers for a prefix, alike everywhere.
+    """Return the rendezvous hash of a server for a prefix block, from 0 to 1.
 
-    The server of the highest number is the rendezvous of the prefix: one server more or
-    less moves only the prefixes that it gains or held.
+    All routers compute the same weight and prefer the server with the highest one.
+    Adding or removing a server moves only the prefixes that it gains or held.
     """
     return xxhash.xxh64_intdigest(f"{server}/{block}".encode()) / 2.0**64
--- a/celeryspan/decisions/serverlist.py
+++ b/celeryspan/decisions/serverlist.py
@@ -1,10 +1,11 @@
-"""Which backend servers there are, from entries that lapse while the store is away.
-
-Failure answered: the store is down for seconds, entries lapse because their servers
-could not renew them, and when it is back every router would drop servers that work:
-seen as refusals while all capacity idles. An entry found missing right after the store
-was away stays in use until servers have had time to come back; one that is missing
-after that is gone. Without an outage a missing entry is gone at once.
+"""List of backend servers that survives store outages.
+
+When the store is down for seconds, entries expire because their servers cannot renew
+them. Without this module every router would drop working servers when the store
+returns, and refuse requests while all capacity is idle. An entry found missing right
+after an outage stays in use until its server has had time to register again, and is
+removed if it is still missing then. Without an outage a missing entry is removed
+immediately.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from celeryspan import catalog, ids
 
 REGISTRATION_GRACE_SECONDS = 2.0
-"""Servers that live are back this long after the store's return."""
+"""Time after the store's return within which live servers have registered again."""
 
 
 class ServerList:
-    """The entries of backend servers, as one router believes them."""
+    """Entries of backend servers as known to one router."""
 
     def __init__(self) -> None:
         self._entries: dict[ids.ServerId, catalog.ServerEntry] = {}
@@ -27,20 +28,21 @@
         self._store_returned_at = float("-inf")
 
     def record_store_unreachable(self) -> None:
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         self._store_unreachable = True
 
     def record_store_reachable(self, now: float) -> None:
-        """Note that the store answers."""
+        """Record that the store answers."""
         if self._store_unreachable:
             self._store_unreachable = False
             self._store_returned_at = now
 
     def update(self, entry: catalog.ServerEntry) -> None:
-        """Take in an entry unless a newer one is known.
+        """Store an entry unless a newer one is known.
 
-        A write of a server that has crashed may reach the store after those of its next
-        incarnation: it has the higher revision, and would bring back a dead server.
+        A write by a crashed server may reach the store after the writes of its next
+        incarnation. It then has the higher revision and would restore the entry of a
+        dead server.
         """
         known = self._entries.get(entry.server)
         if known is not None and (
@@ -51,17 +53,17 @@
         self._expires_at.pop(entry.server, None)
 
     def remove(self, server: ids.ServerId, now: float) -> None:
-        """Note that an entry is missing."""
+        """Record that an entry is missing; after an outage it has a grace period."""
         if server not in self._entries:
             return
-        gone_at = self._store_returned_at + REGISTRATION_GRACE_SECONDS
-        if now < gone_at:
-            self._expires_at.setdefault(server, gone_at)
+        grace_ends_at = self._store_returned_at + REGISTRATION_GRACE_SECONDS
+        if now < grace_ends_at:
+            self._expires_at.setdefault(server, grace_ends_at)
         else:
             self._drop(server)
 
     def replace(self, entries: Iterable[catalog.ServerEntry], now: float) -> None:
-        """Take in all entries at once; those not among them are missing."""
+        """Replace the whole list; known entries that are not in it are missing."""
         listed = list(entries)
         for server in self._entries.keys() - {entry.server for entry in listed}:
             self.remove(server, now)
@@ -69,16 +71,16 @@
             self.update(entry)
 
     def expire(self, now: float) -> bool:
-        """Drop what has been missing for too long; returns whether anything was."""
+        """Drop missing entries past their grace period; return whether any were."""
         if self._store_unreachable:
             return False
-        late = [server for server, at in self._expires_at.items() if at <= now]
-        for server in late:
+        expired = [server for server, at in self._expires_at.items() if at <= now]
+        for server in expired:
             self._drop(server)
-        return bool(late)
+        return bool(expired)
 
     def usable(self) -> dict[ids.ServerId, catalog.ServerEntry]:
-        """Return the servers that may get new work."""
+        """Return the servers that may get new requests."""
         return {
             server: entry
             for server, entry in self._entries.items()
@@ -86,7 +88,7 @@
         }
 
     def find(self, server: ids.ServerId) -> catalog.ServerEntry | None:
-        """Return an entry, also of a server that is leaving, or None."""
+        """Return the entry of a server, including a leaving one, or None."""
         return self._entries.get(server)
 
     def _drop(self, server: ids.ServerId) -> None:
--- a/tests/decisions/test_departures.py
+++ b/tests/decisions/test_departures.py
@@ -1,4 +1,4 @@
-"""Leaving servers: own word before the list, newest fact before older ones."""
+"""Tests for departure facts, and for orders and load limits of engines."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 SECOND = 1_000_000
 
 
-def test_list_that_lags_does_not_take_back_a_servers_own_word() -> None:
-    """A server says that it leaves; the platform's list calls it live for a minute."""
+def test_stale_vm_list_does_not_override_an_announced_departure() -> None:
+    """A server announces its departure; the VM list reports it live for a minute."""
     found = departures.Departures()
     assert found.record_state("s", LEAVING, 10 * SECOND) is not None
     assert found.apply_vm_list([("s", LIVE)], 20 * SECOND) == []
@@ -23,7 +23,7 @@
     assert found.leaving() == frozenset()
 
 
-def test_facts_in_any_order_and_doubled_come_to_the_same() -> None:
+def test_merge_does_not_depend_on_order_or_duplicates() -> None:
     facts = [
         messages.ServerFact("s", LEAVING, 1),
         messages.ServerFact("s", LIVE, 2),
@@ -37,7 +37,7 @@
         assert found.leaving() == {"s"}
 
 
-def test_clock_that_goes_back_still_raises_the_version() -> None:
+def test_version_increases_when_the_clock_goes_back() -> None:
     found = departures.Departures()
     first = found.record_state("s", LEAVING, 100)
     second = found.record_state("s", LIVE, 50)
@@ -45,23 +45,23 @@
     assert found.record_state("s", LIVE, 60) is None
 
 
-def test_loads_begin_one_after_the_other() -> None:
-    """A new version for a hundred engines must not empty the weight store at once."""
+def test_loads_start_one_after_another() -> None:
+    """A new version for 100 engines must not make them all load at the same time."""
     limit = loading.LoadLimiter(0.0)
-    began = []
+    starts = []
     for tenth in range(0, 3_000):
         now = tenth / 10
         for server in range(100):
             if limit.try_begin(f"server-{server}", now):
-                began.append(now)
+                starts.append(now)
                 limit.update(f"server-{server}", loading=tenth % 200 < 100)
                 limit.update(f"server-{server}", loading=False)
-    gaps = [late - early for early, late in itertools.pairwise(began)]
-    assert began[0] >= loading.LOAD_INTERVAL_SECONDS
+    gaps = [late - early for early, late in itertools.pairwise(starts)]
+    assert starts[0] >= loading.LOAD_INTERVAL_SECONDS
     assert min(gaps) >= loading.LOAD_INTERVAL_SECONDS - 1e-9
 
 
-def test_order_only_for_what_differs() -> None:
+def test_order_is_chosen_only_for_a_difference() -> None:
     state = loading.EngineState("m", (), "1", "decode", 0, False)
     assert loading.choose_order(loading.DesiredState(""), state) is None
     assert loading.choose_order(loading.DesiredState("m"), state) is None
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -1,4 +1,4 @@
-"""The window in a closed loop with late reports."""
+"""Tests for the concurrency window, in a closed loop with stale load reports."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 @pytest.mark.parametrize(("lag", "least"), [(1.0, 0.97), (3.0, 0.94), (8.0, 0.86)])
-def test_window_keeps_the_server_busy_and_steady(lag: float, least: float) -> None:
-    """Streams stutter and stop in turns of half a minute on a server that is well.
-
-    The engine reports seconds late. A window that follows each report is cut again
-    and again for the same overload, then grows until it overloads the engine again.
+def test_window_keeps_the_server_busy_without_oscillation(
+    lag: float, least: float
+) -> None:
+    """Guards against a window that oscillates on stale reports.
+
+    The engine reports its load with a lag of seconds. A window that follows each report
+    is reduced several times for the same overload, then grows until it overloads the
+    engine again, so that streams stall in turns of half a minute.
     """
     result = loop.play("celeryspan", lag)
     assert result.utilisation > least
@@ -21,14 +24,14 @@
     assert result.utilisation > loop.play("follow", lag).utilisation
 
 
-def test_one_overload_is_answered_once() -> None:
+def test_one_overload_reduces_the_window_once() -> None:
     window = limits.Window(64, 0.0)
     for at in range(4):
         window.record_load(limits.LoadReport(64, 48, 16, 0.0, float(at)), 64, at + 5.0)
     assert window.size == 64 - 16 + 5
 
 
-def test_window_stays_between_floor_and_ceiling() -> None:
+def test_window_stays_between_minimum_and_maximum() -> None:
     window = limits.Window(8, 0.0)
     for at in range(0, 100, 10):
         window.record_end(True, None, float(at))
@@ -38,8 +41,8 @@
     assert window.size == 8
 
 
-def test_a_window_that_is_not_used_does_not_grow() -> None:
-    """A quiet night is followed by a burst that stalls every stream of the server."""
+def test_unused_window_does_not_grow() -> None:
+    """Guards against a window that grows while idle and then admits a large burst."""
     window = limits.Window(64, 0.0)
     window.record_end(True, None, 1.0)
     size = window.size
@@ -48,7 +51,7 @@
     assert window.size == size
 
 
-def test_slow_streams_narrow_the_window() -> None:
+def test_slow_streams_reduce_the_window() -> None:
     window = limits.Window(64, 0.0)
     for at in range(30):
         window.record_end(False, 2 * limits.MAX_TOKEN_SECONDS, float(at))
--- a/tests/decisions/test_outages.py
+++ b/tests/decisions/test_outages.py
@@ -1,4 +1,4 @@
-"""Routers call the store within a budget, and come back to it one after the other."""
+"""Tests for the circuit breaker and call budget of the store, and for watchers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from celeryspan.decisions import outages, watchers
 
 
-def test_failing_store_is_tried_by_one_call_at_a_time() -> None:
+def test_breaker_admits_one_probe_at_a_time() -> None:
     breaker = outages.CircuitBreaker()
     generator = random.Random(1)
     assert breaker.try_acquire(0.0)
@@ -22,15 +22,16 @@
     assert breaker.try_acquire(100.0)
 
 
-def test_fleet_does_not_stampede_when_the_store_is_back() -> None:
-    """The store is down for ten minutes and comes back to 1,300 routers.
+def test_routers_return_to_a_recovered_store_spread_over_time() -> None:
+    """Guards against a thundering herd when the store recovers.
 
-    If they all call in the same second it is down again, as a store that takes some
-    hundred writes a second is. Each router's wait is drawn from the whole interval.
+    The store is down for ten minutes. It handles a few hundred writes a second, so
+    1,300 routers that call it in the same second would overload it again. Each router
+    draws its delay from the whole interval.
     """
     generator = random.Random(2)
     end = 600.0
-    firsts = []
+    first_calls = []
     for _ in range(1_300):
         breaker, now = outages.CircuitBreaker(), 0.0
         while now < end:
@@ -39,15 +40,16 @@
             now += 0.1
         while not breaker.try_acquire(now):
             now += 0.1
-        firsts.append(now)
+        first_calls.append(now)
     busiest = max(
-        sum(start <= first < start + 1 for first in firsts) for start in range(600, 620)
+        sum(start <= first < start + 1 for first in first_calls)
+        for start in range(600, 620)
     )
     assert busiest < 300
-    assert max(firsts) < end + outages.DELAY_MAX_SECONDS + 1
+    assert max(first_calls) < end + outages.DELAY_MAX_SECONDS + 1
 
 
-def test_budget_limits_the_background_and_saves_for_a_start() -> None:
+def test_budget_limits_the_sustained_rate_and_permits_a_burst() -> None:
     budget = outages.CallBudget()
     taken = sum(budget.take(0.0) for _ in range(100))
     assert taken == outages.BURST_CALLS
@@ -55,7 +57,7 @@
     assert taken == 100 * outages.CALLS_PER_SECOND
 
 
-def test_watchers_are_few_the_same_everywhere_and_replaced() -> None:
+def test_watchers_are_few_agreed_on_and_replaced() -> None:
     routers = [f"router-{number}" for number in range(1_300)]
     chosen = watchers.choose("configuration", routers)
     assert len(chosen) == watchers.WATCHERS
--- a/tests/decisions/test_outcomes.py
+++ b/tests/decisions/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What may be said about a request, checked against a world that knows the truth."""
+"""Tests that the reported outcome of a request matches what the servers did."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 _State = states.RequestState
 
 
-class World(stateful.RuleBasedStateMachine):
-    """One request whose steps meet every fault in every order.
+class RequestMachine(stateful.RuleBasedStateMachine):
+    """Applies every fault to one request, in every order.
 
-    The story: a planner's confirmation is answered "not run" though a server had read
-    it; she sends it again and books two aircraft onto one gate. The machine knows
-    what each server did, and holds what the caller may be told against it.
+    Guards against an answer of "not run" for a request that a server has run, after
+    which the caller sends it again and books twice. The state machine records what each
+    server did and compares it with the reported outcome.
     """
 
     runs = 0
@@ -43,7 +43,7 @@
     @stateful.precondition(lambda self: self.is_in(_State.GRANTED))
     @stateful.rule(ran=strategies.booleans())
     def send(self, ran: bool) -> None:
-        """Let the server read the bytes and run the request, or not: nobody knows."""
+        """Send the request; whether the server runs it is unknown to the router."""
         try:
             self.progress.send()
         except outcomes.IllegalTransition:
@@ -60,7 +60,7 @@
 
     @stateful.precondition(lambda self: self.is_in(_State.SENT, _State.ANSWERING))
     @stateful.rule()
-    def lose(self) -> None:
+    def lose_connection(self) -> None:
         if self.progress.outcome is states.Outcome.RAN:
             with pytest.raises(outcomes.IllegalTransition):
                 self.progress.record_connection_loss()
@@ -82,7 +82,7 @@
         self.progress.settle()
 
     @stateful.invariant()
-    def tell_the_truth(self) -> None:
+    def outcome_matches_runs(self) -> None:
         if not hasattr(self, "progress"):
             return
         if self.progress.outcome is states.Outcome.NOT_RUN:
@@ -91,16 +91,16 @@
             assert self.runs > 0
 
     @stateful.invariant()
-    def expose_once(self) -> None:
+    def non_idempotent_request_is_exposed_once(self) -> None:
         if hasattr(self, "progress") and not self.idempotent:
             assert self.sends_without_decline <= 1
             assert self.runs <= 1
 
 
-TestWorld = World.TestCase
+TestRequestMachine = RequestMachine.TestCase
 
 
-def test_a_lost_request_stays_unknown_after_another_server_declines() -> None:
+def test_lost_request_stays_unknown_after_another_server_declines() -> None:
     progress = outcomes.RequestProgress(idempotent=True)
     progress.grant()
     progress.send()
@@ -111,7 +111,7 @@
     assert progress.settle() is states.Outcome.UNKNOWN
 
 
-def test_steps_out_of_order_are_refused() -> None:
+def test_illegal_transitions_are_rejected() -> None:
     progress = outcomes.RequestProgress(idempotent=False)
     with pytest.raises(outcomes.IllegalTransition):
         progress.send()
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -1,4 +1,4 @@
-"""Prefix affinity, judged by what callers wait and by how servers are loaded."""
+"""Tests for prefix affinity, by caller wait times and server load."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     cache.apply_events(ids.ServerId(server), events, events[-1].sequence, 0.0)
 
 
-def test_a_hot_prefix_does_not_make_one_server_the_bottleneck() -> None:
-    """Every planner asks about the same storm, and all wait for one of six servers.
+def test_hot_prefix_does_not_overload_one_server() -> None:
+    """Guards against strict affinity for a hot prefix.
 
-    Six in ten prompts share a prefix. Pinned to the server that has it cached, they
-    wait for minutes while the other servers idle.
+    Six in ten prompts share a prefix. Pinned to the one of six servers that has it
+    cached, they wait for minutes while the other servers idle.
     """
     spread = patterns.measure("hot prefix, busy", "celeryspan", (1,))
     pinned = patterns.measure("hot prefix, busy", "pinned by prefix", (1,))
@@ -40,7 +40,7 @@
     assert spread["wait_p99"] < pinned["wait_p99"] / 5
 
 
-def test_prefixes_are_reused_at_half_load_though_events_are_lost() -> None:
+def test_prefixes_are_reused_at_half_load_despite_lost_events() -> None:
     blind = patterns.measure("many prefixes, half load", "no affinity", (1,))
     lossy = patterns.measure(
         "many prefixes, half load", "celeryspan, 30% of events lost", (1,)
@@ -48,7 +48,7 @@
     assert lossy["seconds_per_call"] < 0.7 * blind["seconds_per_call"]
 
 
-def test_a_gap_lowers_trust_and_answers_restore_it() -> None:
+def test_event_gap_lowers_confidence_and_answers_restore_it() -> None:
     cache = routing.CacheMap()
     store(cache, "s0")
     assert cache.expected_blocks(NAMES[0], PROMPT) == 4.0
@@ -59,11 +59,12 @@
     assert cache.expected_blocks(NAMES[0], PROMPT) > 3.9
 
 
-def test_first_prompts_do_not_lower_trust() -> None:
-    """A farm's season history is sent to the server that has it, prompt by prompt.
+def test_new_blocks_do_not_lower_confidence() -> None:
+    """Guards against counting new blocks of a prompt as cache misses.
 
-    Each prompt ends in blocks that no server has seen. Held against the whole prompt,
-    every answer looked like a broken promise, and trust fell to its floor everywhere.
+    Prompts with a shared prefix end in blocks that no server has seen. When the cached
+    blocks were compared with the whole prompt, every answer counted as a miss, and the
+    confidence in all servers fell to its minimum.
     """
     cache = routing.CacheMap()
     store(cache, "s0")
@@ -74,21 +75,21 @@
     assert cache.expected_blocks(NAMES[0], PROMPT) == 4.0
 
 
-def test_a_server_that_has_started_again_is_believed_empty() -> None:
+def test_restarted_server_is_assumed_empty() -> None:
     cache = routing.CacheMap()
     store(cache, "s0", first=100)
     cache.apply_events(NAMES[0], [], 0, 1.0)
     assert cache.expected_blocks(NAMES[0], PROMPT) == 0.0
 
 
-def test_memory_is_bounded() -> None:
+def test_number_of_pairs_is_bounded() -> None:
     cache = routing.CacheMap(max_pairs=100)
     for block in range(1000):
         cache.record_sent(NAMES[block % 5], (block,), 0.0)
     assert cache.count_pairs() <= 100
 
 
-def test_best_elsewhere_leaves_out_the_server_itself() -> None:
+def test_max_expected_elsewhere_excludes_the_server_itself() -> None:
     cache = routing.CacheMap()
     store(cache, "s0")
     cache.record_sent(NAMES[1], PROMPT[:2], 0.0)
@@ -96,10 +97,11 @@
     assert cache.max_expected_elsewhere(NAMES[1], PROMPT) == 4.0
 
 
-def test_routers_that_have_just_started_spread_prefixes_and_agree() -> None:
-    """All routers restart at once and one server gets every prompt.
+def test_restarted_routers_spread_prefixes_and_agree() -> None:
+    """Guards against one server getting every prompt after all routers restart.
 
-    None knows any cache yet; choosing the first of equals sends all to the same server.
+    No router has cache data yet, so choosing the first of equal servers would send all
+    prompts to the same one.
     """
     rng = random.Random(1)
     chosen = collections.Counter()
--- a/tests/decisions/test_serverlist.py
+++ b/tests/decisions/test_serverlist.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers that lapse, come back, or are gone."""
+"""Tests for backend server entries that expire, return or are removed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def make_entry(
     name: str, revision: int, *, leaving: bool = False, started_ms: int | None = None
 ):
-    """Return an entry of a backend server."""
+    """Build the entry of a backend server."""
     return catalog.ServerEntry(
         server=ids.ServerId(name),
         service=ids.ServiceId("gate"),
@@ -27,116 +27,120 @@
     )
 
 
-def test_entry_that_is_missing_is_gone_at_once() -> None:
-    found = serverlist.ServerList()
-    found.update(make_entry("s1", 1))
-    found.remove(ids.ServerId("s1"), now=10.0)
-    assert found.usable() == {}
+def test_missing_entry_is_removed_immediately() -> None:
+    servers = serverlist.ServerList()
+    servers.update(make_entry("s1", 1))
+    servers.remove(ids.ServerId("s1"), now=10.0)
+    assert servers.usable() == {}
 
 
-def test_entry_that_lapsed_in_an_outage_stays_until_servers_are_back() -> None:
-    """The store is down for seconds, and all entries lapse meanwhile.
+def test_entry_that_expired_in_an_outage_has_a_grace_period() -> None:
+    """Guards against dropping working servers after a store outage.
 
-    Dropping them at its return leaves no server for two seconds, though all work.
+    All entries expire while the store is down. Dropping them at its return would leave
+    no server for two seconds, although all of them work.
     """
-    found = serverlist.ServerList()
-    found.update(make_entry("s1", 1))
-    found.update(make_entry("s2", 2))
-    found.record_store_unreachable()
-    found.record_store_reachable(now=10.0)
-    found.replace([], now=10.0)
-    assert set(found.usable()) == {"s1", "s2"}
-    found.update(make_entry("s1", 9))
-    assert found.expire(now=12.1)
-    assert set(found.usable()) == {"s1"}
-
-
-def test_leaving_server_is_not_usable_and_an_old_entry_changes_nothing() -> None:
-    found = serverlist.ServerList()
-    found.update(make_entry("s1", 5, leaving=True))
-    found.update(make_entry("s1", 4))
-    assert found.usable() == {}
-    assert found.find(ids.ServerId("s1")).is_leaving
-
-
-def test_late_write_of_an_earlier_incarnation_changes_nothing() -> None:
-    """A server crashes as its entry is on its way, and starts again under its id.
-
-    The store does the old write last, with the higher revision. Callers would be sent
-    to the address, and see the draining, of an incarnation that is dead.
+    servers = serverlist.ServerList()
+    servers.update(make_entry("s1", 1))
+    servers.update(make_entry("s2", 2))
+    servers.record_store_unreachable()
+    servers.record_store_reachable(now=10.0)
+    servers.replace([], now=10.0)
+    assert set(servers.usable()) == {"s1", "s2"}
+    servers.update(make_entry("s1", 9))
+    assert servers.expire(now=12.1)
+    assert set(servers.usable()) == {"s1"}
+
+
+def test_leaving_server_is_not_usable_and_older_entries_are_ignored() -> None:
+    servers = serverlist.ServerList()
+    servers.update(make_entry("s1", 5, leaving=True))
+    servers.update(make_entry("s1", 4))
+    assert servers.usable() == {}
+    assert servers.find(ids.ServerId("s1")).is_leaving
+
+
+def test_late_write_of_an_earlier_incarnation_is_ignored() -> None:
+    """Guards against a late write that restores the entry of a dead incarnation.
+
+    A server crashes while its entry is being written and restarts under the same id.
+    The store applies the old write last, with the higher revision. Callers would be
+    sent to the address, and see the draining state, of the dead incarnation.
     """
-    found = serverlist.ServerList()
-    found.update(make_entry("s1", 5, started_ms=2_000))
-    found.update(make_entry("s1", 6, started_ms=1_000, leaving=True))
-    assert found.usable()["s1"].started_ms == 2_000
-    found.update(make_entry("s1", 7, started_ms=3_000))
-    assert found.usable()["s1"].started_ms == 3_000
+    servers = serverlist.ServerList()
+    servers.update(make_entry("s1", 5, started_ms=2_000))
+    servers.update(make_entry("s1", 6, started_ms=1_000, leaving=True))
+    assert servers.usable()["s1"].started_ms == 2_000
+    servers.update(make_entry("s1", 7, started_ms=3_000))
+    assert servers.usable()["s1"].started_ms == 3_000
 
 
-class Lists(stateful.RuleBasedStateMachine):
-    """A list of servers against what the store has, through outages."""
+class ServerListMachine(stateful.RuleBasedStateMachine):
+    """Compares the server list with the contents of the store across outages."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.found = serverlist.ServerList()
+        self.servers = serverlist.ServerList()
         self.stored: dict[str, int] = {}
         self.now = 0.0
         self.revision = 0
-        self.calm_since = 0.0
-        self.away = False
+        self.reachable_since = 0.0
+        self.is_unreachable = False
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def register(self, name: str) -> None:
-        """Let a server write its entry."""
+        """Write the entry of a server."""
         self.revision += 1
         self.stored[name] = self.revision
-        if not self.away:
-            self.found.update(make_entry(name, self.revision))
+        if not self.is_unreachable:
+            self.servers.update(make_entry(name, self.revision))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def lapse(self, name: str) -> None:
-        """Let a server's entry go."""
-        if self.stored.pop(name, None) is not None and not self.away:
-            self.found.remove(ids.ServerId(name), self.now)
+    def expire_entry(self, name: str) -> None:
+        """Expire the entry of a server."""
+        if self.stored.pop(name, None) is not None and not self.is_unreachable:
+            self.servers.remove(ids.ServerId(name), self.now)
 
     @stateful.rule()
-    def lose(self) -> None:
-        """Let the store be silent."""
-        self.away = True
-        self.found.record_store_unreachable()
+    def lose_store(self) -> None:
+        """Make the store unreachable."""
+        self.is_unreachable = True
+        self.servers.record_store_unreachable()
 
     @stateful.rule()
-    def regain(self) -> None:
-        """Let the store answer, and read it anew."""
-        if self.away:
-            self.calm_since = self.now
-        self.away = False
-        self.found.record_store_reachable(self.now)
+    def regain_store(self) -> None:
+        """Make the store reachable and read it anew."""
+        if self.is_unreachable:
+            self.reachable_since = self.now
+        self.is_unreachable = False
+        self.servers.record_store_reachable(self.now)
         entries = [make_entry(name, at) for name, at in self.stored.items()]
-        self.found.replace(entries, self.now)
+        self.servers.replace(entries, self.now)
 
     @stateful.rule(seconds=strategies.floats(0.1, 3.0))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
-        self.found.expire(self.now)
+        self.servers.expire(self.now)
 
     @stateful.invariant()
-    def knows_what_is_stored(self) -> None:
-        """With the store in reach each stored entry is usable."""
-        if not self.away:
-            assert set(self.found.usable()) >= set(self.stored)
+    def stored_entries_are_usable(self) -> None:
+        """While the store is reachable, every stored entry is usable."""
+        if not self.is_unreachable:
+            assert set(self.servers.usable()) >= set(self.stored)
 
     @stateful.invariant()
-    def drops_what_is_gone(self) -> None:
-        """Two seconds after an outage nothing else is."""
-        settled = self.now >= self.calm_since + serverlist.REGISTRATION_GRACE_SECONDS
-        if not self.away and settled:
-            self.found.expire(self.now)
-            assert set(self.found.usable()) == set(self.stored)
-
-
-TestLists = Lists.TestCase
-TestLists.settings = hypothesis.settings(
+    def missing_entries_are_dropped(self) -> None:
+        """Two seconds after an outage, no other entry is usable."""
+        settled = (
+            self.now >= self.reachable_since + serverlist.REGISTRATION_GRACE_SECONDS
+        )
+        if not self.is_unreachable and settled:
+            self.servers.expire(self.now)
+            assert set(self.servers.usable()) == set(self.stored)
+
+
+TestServerListMachine = ServerListMachine.TestCase
+TestServerListMachine.settings = hypothesis.settings(
     max_examples=60, stateful_step_count=30, derandomize=True, deadline=None
 )
