--- a/celeryspan/decisions/limits.py
+++ b/celeryspan/decisions/limits.py
@@ -36,7 +36,8 @@
 """Maximum growth step, as a share of the window."""
 
 SLOW_STREAM_CUT_SHARE = 0.1
-"""Reduction of the window per change while streams are slower than promised."""
+"""Reduction per change, as a share of the window, while streams are slower than
+promised."""
 
 FAILURE_WINDOW_FACTOR = 0.7
 """Factor on the window when the server refuses a request or times out, since no report
@@ -148,13 +149,13 @@
         self._token_seconds += (token_seconds - self._token_seconds) * (1.0 - DECAY)
         if self._token_seconds > MAX_TOKEN_SECONDS:
             self._slow_at = now
-            if may_change and now - self._changed_at >= self._stream_interval():
+            if may_change and now - self._changed_at >= self._stream_settle_seconds():
                 self._resize(
                     self.size - max(1, int(SLOW_STREAM_CUT_SHARE * self.size)), now
                 )
 
-    def _stream_interval(self) -> float:
-        """Return the time until the mean reflects a change, with new streams only."""
+    def _stream_settle_seconds(self) -> float:
+        """Return the time after a change until the mean covers only new streams."""
         return 5.0 * pacing.FeedbackLoop.WINDOW.value.interval
 
     def _may_grow(self, load: LoadReport, now: float) -> bool:
@@ -164,7 +165,7 @@
         admit a burst of a size that the engine has never handled.
         """
         is_in_use = now - self._full_at <= now - load.as_of + 1.0
-        is_slow = now - self._slow_at <= 4.0 * self._stream_interval()
+        is_slow = now - self._slow_at <= 4.0 * self._stream_settle_seconds()
         return is_in_use and not is_slow and load.waiting == 0
 
     def _resize(self, size: int, now: float) -> None:
--- a/celeryspan/decisions/loading.py
+++ b/celeryspan/decisions/loading.py
@@ -50,15 +50,15 @@
     loading: bool
 
 
-def choose_order(wanted: DesiredState, state: EngineState) -> OrderKind | None:
+def choose_order(desired: DesiredState, state: EngineState) -> OrderKind | None:
     """Return the order that brings an engine closer to the desired state, or None."""
-    if not wanted.model or state.loading:
+    if not desired.model or state.loading:
         return None
-    if state.model != wanted.model or set(state.adapters) != set(wanted.adapters):
+    if state.model != desired.model or set(state.adapters) != set(desired.adapters):
         return OrderKind.LOAD
-    if wanted.version and state.version != wanted.version:
+    if desired.version and state.version != desired.version:
         return OrderKind.LOAD
-    if wanted.role and state.role != wanted.role:
+    if desired.role and state.role != desired.role:
         return OrderKind.ROLE
     return None
 
--- a/celeryspan/decisions/outliers.py
+++ b/celeryspan/decisions/outliers.py
@@ -21,7 +21,7 @@
 from celeryspan import ids
 from celeryspan.decisions import pacing
 
-MAX_CONSECUTIVE_FAILURES = 5
+FAILURES_TO_EJECT = 5
 """Consecutive failures that eject a server: if one in ten requests fails at random,
 five in a row occur once in 100,000 requests."""
 
@@ -223,7 +223,7 @@
     def _find_ejection_reason(
         self, server: ids.ServerId, stats: _ServerStats
     ) -> str | None:
-        if stats.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+        if stats.consecutive_failures >= FAILURES_TO_EJECT:
             return f"{stats.consecutive_failures} consecutive failures"
         if (
             stats.has_enough_samples
@@ -282,8 +282,8 @@
         return [Change(server, Standing.GOOD, "passed its trial")]
 
 
-def _is_outlier(mine: float | None, others: list[float | None]) -> bool:
-    known = [value for value in others if value is not None]
-    if mine is None or not known:
+def _is_outlier(own: float | None, peers: list[float | None]) -> bool:
+    peer_values = [value for value in peers if value is not None]
+    if own is None or not peer_values:
         return False
-    return mine > MAX_SLOWNESS_FACTOR * statistics.median(known)
+    return own > MAX_SLOWNESS_FACTOR * statistics.median(peer_values)
--- a/celeryspan/decisions/placement.py
+++ b/celeryspan/decisions/placement.py
@@ -94,7 +94,7 @@
     """Plans moves from the pressure on the services of one fleet."""
 
     def __init__(self) -> None:
-        self._wanted_since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
+        self._candidate_since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
         self._last_moves: dict[ids.ServerId, float] = {}
         self._last_fleet_move = -math.inf
 
@@ -117,7 +117,7 @@
             return None
         for move in candidates.values():
             if (
-                now - self._wanted_since[move.source, move.target]
+                now - self._candidate_since[move.source, move.target]
                 >= MIN_PRESSURE_SECONDS
             ):
                 return move
@@ -126,7 +126,7 @@
     def record_move(self, server: ids.ServerId, now: float) -> None:
         """Record a move, including one made by another router with the planner duty."""
         self._last_moves[server] = self._last_fleet_move = now
-        self._wanted_since.clear()
+        self._candidate_since.clear()
 
     def _find_candidates(
         self,
@@ -157,6 +157,6 @@
         self, candidates: Mapping[tuple[ids.ServiceId, ids.ServiceId], Move], now: float
     ) -> None:
         """Track since when each move has been a candidate without interruption."""
-        self._wanted_since = {
-            pair: self._wanted_since.get(pair, now) for pair in candidates
+        self._candidate_since = {
+            pair: self._candidate_since.get(pair, now) for pair in candidates
         }
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -52,11 +52,11 @@
 
 def test_account_shares_decay_without_accruing_credit() -> None:
     shares = accountshares.AccountShares()
-    shares.charge("flood", 9000.0, 0.0)
-    shares.charge("calm", 1000.0, 0.0)
-    assert shares.level("flood") > shares.level("calm") > shares.level("new") == 0.0
-    shares.charge("calm", 1000.0, 12.0)
-    assert shares.level("flood") < shares.level("calm")
+    shares.charge("heavy", 9000.0, 0.0)
+    shares.charge("light", 1000.0, 0.0)
+    assert shares.level("heavy") > shares.level("light") > shares.level("new") == 0.0
+    shares.charge("light", 1000.0, 12.0)
+    assert shares.level("heavy") < shares.level("light")
 
 
 def test_unreachable_server_backs_off_longer_after_each_failure() -> None:
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -78,7 +78,7 @@
 
 def test_failed_trial_doubles_the_ejection_time() -> None:
     detector = make_detector()
-    for _ in range(outliers.MAX_CONSECUTIVE_FAILURES):
+    for _ in range(outliers.FAILURES_TO_EJECT):
         detector.record(NAMES[0], True, 0.1, 0.0, 1.0)
     detector.start_due_trials(11.0)
     detector.record(NAMES[0], True, 0.1, 0.0, 11.0)
