--- a/celeryspan/decisions/loading.py
+++ b/celeryspan/decisions/loading.py
@@ -1,13 +1,13 @@
-"""Which order a model engine needs, and how many loads the weight store bears.
+"""Chooses orders for model engines and limits concurrent loads from the weight store.
 
-Failure answered: a change of the register calls for a new version on a hundred
-engines. Ordered all at once they read from the weight store together, which limits
-its rate; each load then takes a hundred times as long, and the service has no engine
-meanwhile. Loads are therefore begun one after the other, by the one holder of the
-duty, which makes the limit hold over the whole fleet.
+A change of the register can require a new version on a hundred engines. If all of them
+load at once, they share the limited rate of the weight store, each load takes a hundred
+times as long, and the service has no engine meanwhile. Loads are therefore started one
+after another by the single router that holds the duty, so that the limit applies to the
+whole fleet.
 
-Orders are idempotent: each names the whole wanted state, and none is sent to an engine
-that reports it already.
+Orders are idempotent: each one specifies the complete desired state, and no order is
+sent to an engine that already reports this state.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 import msgspec
 
-LOAD_SECONDS = 10.0
-"""Least time between the beginnings of two loads."""
+LOAD_INTERVAL_SECONDS = 10.0
+"""Minimum time between the starts of two loads."""
 
-LOADING_MAX = 2
-"""Loads under way at once over the fleet, as far as engines have reported them."""
+MAX_CONCURRENT_LOADS = 2
+"""Maximum number of concurrent loads in the fleet, as reported by the engines."""
 
 
-class Kind(enum.Enum):
+class OrderKind(enum.Enum):
     """Kind of an order."""
 
     LOAD = "load"
     ROLE = "role"
 
 
-class Wanted(msgspec.Struct, frozen=True):
-    """What an engine should have loaded and be; empty texts are no wish."""
+class DesiredState(msgspec.Struct, frozen=True):
+    """Desired state of an engine; an empty field leaves that part unspecified."""
 
     model: str
     adapters: tuple[str, ...] = ()
@@ -40,7 +40,7 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine reports of itself."""
+    """State that an engine reports."""
 
     model: str
     adapters: tuple[str, ...]
@@ -50,44 +50,44 @@
     loading: bool
 
 
-def choose_order(wanted: Wanted, state: EngineState) -> Kind | None:
-    """Return the order that brings an engine closer to what is wanted, or None."""
-    if not wanted.model or state.loading:
+def choose_order(desired: DesiredState, state: EngineState) -> OrderKind | None:
+    """Return the order that brings an engine closer to the desired state, or None."""
+    if not desired.model or state.loading:
         return None
-    if state.model != wanted.model or set(state.adapters) != set(wanted.adapters):
-        return Kind.LOAD
-    if wanted.version and state.version != wanted.version:
-        return Kind.LOAD
-    if wanted.role and state.role != wanted.role:
-        return Kind.ROLE
+    if state.model != desired.model or set(state.adapters) != set(desired.adapters):
+        return OrderKind.LOAD
+    if desired.version and state.version != desired.version:
+        return OrderKind.LOAD
+    if desired.role and state.role != desired.role:
+        return OrderKind.ROLE
     return None
 
 
-class LoadLimit:
-    """Admits loads at the rate that the weight store bears.
+class LoadLimiter:
+    """Limits the rate and the number of concurrent loads from the weight store.
 
     Parameters
     ----------
     now : float
-        When this router took the duty: an earlier holder may have begun a load just
-        before, so that the first one waits too.
+        Time at which this router took the duty. The previous holder may have started a
+        load just before, so the first load waits for a full interval too.
     """
 
     def __init__(self, now: float) -> None:
-        self._next_at = now + LOAD_SECONDS
+        self._next_at = now + LOAD_INTERVAL_SECONDS
         self._loading: set[str] = set()
 
-    def note(self, server: str, *, loading: bool) -> None:
-        """Note what an engine reports."""
+    def update(self, server: str, *, loading: bool) -> None:
+        """Record whether an engine reports that it is loading."""
         if loading:
             self._loading.add(server)
         else:
             self._loading.discard(server)
 
-    def take(self, server: str, now: float) -> bool:
-        """Take leave to begin one load, if there is any."""
-        if now < self._next_at or len(self._loading) >= LOADING_MAX:
+    def try_begin(self, server: str, now: float) -> bool:
+        """Reserve the start of one load; False if the limits do not permit it now."""
+        if now < self._next_at or len(self._loading) >= MAX_CONCURRENT_LOADS:
             return False
-        self._next_at = now + LOAD_SECONDS
+        self._next_at = now + LOAD_INTERVAL_SECONDS
         self._loading.add(server)
         return True
--- a/celeryspan/decisions/outages.py
+++ b/celeryspan/decisions/outages.py
@@ -1,13 +1,13 @@
-"""When a router may call the object API, and when it waits after a failure.
+"""Call budget and circuit breaker for the object API.
 
-Failure answered: the object API is down, slow or losing answers, for seconds or for
-hours. Without this module each request that needs the store waits a whole timeout,
-so that the threads of a router fill with waiting callers, and when the store is back
-1,300 routers call it in the same second and push it over again.
+The object API may be down, slow or losing answers, for seconds or for hours. Without
+this module each request that needs the store waits for a whole timeout, and the threads
+of a router fill up with waiting callers. When the store is back, 1,300 routers call it
+in the same second and overload it again.
 
-Grounds of the figures: the store takes several hundred writes and about two thousand
-reads a second. Routers whose waits are drawn from the whole interval up to 15 s come
-back at 1,300 / 7.5 = 173 first calls a second, a tenth of what the store takes.
+The store handles several hundred writes and about 2,000 reads a second. With delays
+drawn from the whole interval up to 15 s, routers return at 1,300 / 7.5 = 173 first
+calls a second, a tenth of the store's capacity.
 """
 
 from __future__ import annotations
@@ -16,92 +16,94 @@
 
 import msgspec
 
-RATE = 1.0
-"""Background calls a second that one router may make for long: 1,300 of them stay
-under the two thousand reads a second that the store takes."""
+CALLS_PER_SECOND = 1.0
+"""Sustained background calls a second of one router: 1,300 routers stay below the 2,000
+reads a second that the store handles."""
 
-BURST = 20.0
-"""Calls that a router may make at once: a start reads index, chunks and members."""
+BURST_CALLS = 20.0
+"""Burst of calls of one router: at its start it reads index, chunks and members."""
 
-DELAY_FIRST = 0.2
-"""Greatest wait after a first failure, in seconds: a lost packet costs no more."""
+FIRST_DELAY_MAX_SECONDS = 0.2
+"""Maximum delay after a first failure: the most that a lost packet costs."""
 
-DELAY_MAX = 15.0
-"""Greatest wait between two attempts of one router, in seconds."""
+DELAY_MAX_SECONDS = 15.0
+"""Maximum delay between two attempts of one router."""
 
 
-class Budget(msgspec.Struct):
-    """Token bucket of the calls of one router.
+class CallBudget(msgspec.Struct):
+    """Token bucket for the calls of one router.
 
     Attributes
     ----------
     rate : float
-        Calls a second.
+        Tokens added per second.
     burst : float
-        Greatest number of calls saved up.
+        Capacity of the bucket.
     """
 
-    rate: float = RATE
-    burst: float = BURST
-    _saved: float = -1.0
-    _since: float = 0.0
+    rate: float = CALLS_PER_SECOND
+    burst: float = BURST_CALLS
+    _tokens: float = -1.0
+    _refilled_at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Take one call if one is left."""
-        if self._saved < 0:
-            self._saved, self._since = self.burst, now
-        elapsed = max(0.0, now - self._since)
-        self._saved = min(self.burst, self._saved + elapsed * self.rate)
-        self._since = now
-        if self._saved < 1.0:
+        """Take a token for one call; False if the bucket is empty."""
+        if self._tokens < 0:
+            self._tokens, self._refilled_at = self.burst, now
+        elapsed = max(0.0, now - self._refilled_at)
+        self._tokens = min(self.burst, self._tokens + elapsed * self.rate)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
 
-class Breaker(msgspec.Struct):
-    """Holds calls back while the store does not answer.
+class CircuitBreaker(msgspec.Struct):
+    """Rejects calls while the store does not answer.
 
-    One call after each wait goes through to try the store; all others are refused at
-    once. The wait is drawn anew from the whole interval each time ("full jitter"), so
-    that routers which failed together do not try together.
+    After each delay one call passes to probe the store; all others are rejected
+    immediately. Each delay is drawn from the whole interval (full jitter), so that
+    routers that failed together do not retry together.
 
     Attributes
     ----------
     failures : int
-        Failures in a row.
+        Consecutive failures.
     """
 
     failures: int = 0
-    _closed_until: float = 0.0
+    _open_until: float = 0.0
 
-    def admits(self, now: float) -> bool:
-        """Whether a call may be sent; while failing, reserves the one attempt."""
+    def try_acquire(self, now: float) -> bool:
+        """Whether a call may be sent; while the store fails, reserves the probe."""
         if self.failures == 0:
             return True
-        if now < self._closed_until:
+        if now < self._open_until:
             return False
-        self._closed_until = now + delay_bound(self.failures)
+        self._open_until = now + max_delay(self.failures)
         return True
 
-    def succeed(self) -> bool:
-        """Note an answer; returns whether this ends an outage."""
+    def record_success(self) -> bool:
+        """Record an answer; return whether it ends an outage."""
         ended = self.failures > 0
         self.failures = 0
         return ended
 
-    def fail(self, now: float, generator: random.Random) -> bool:
-        """Note a missing answer; returns whether this begins an outage."""
+    def record_failure(self, now: float, generator: random.Random) -> bool:
+        """Record a missing answer; return whether it begins an outage."""
         self.failures += 1
-        self._closed_until = now + draw_delay(self.failures, generator)
+        self._open_until = now + draw_delay(self.failures, generator)
         return self.failures == 1
 
 
-def delay_bound(failures: int) -> float:
-    """Return the greatest wait after a number of failures in a row, in seconds."""
-    return min(DELAY_MAX, DELAY_FIRST * 2.0 ** min(failures - 1, 16))
+def max_delay(failures: int) -> float:
+    """Return the maximum delay after consecutive failures, in seconds."""
+    return min(
+        DELAY_MAX_SECONDS, FIRST_DELAY_MAX_SECONDS * 2.0 ** min(failures - 1, 16)
+    )
 
 
 def draw_delay(failures: int, generator: random.Random) -> float:
-    """Draw the wait after a number of failures in a row, in seconds."""
-    return generator.uniform(0.0, delay_bound(failures))
+    """Draw a random delay after consecutive failures, in seconds."""
+    return generator.uniform(0.0, max_delay(failures))
--- a/celeryspan/decisions/outliers.py
+++ b/celeryspan/decisions/outliers.py
@@ -1,15 +1,14 @@
-"""Backend servers that fail or are far slower than their peers get no new work.
+"""Outlier detection: ejects backend servers that fail or are too slow.
 
-Load pattern: one server of a service answers with errors, goes silent, or runs at a
-fraction of the speed of the others; long jobs run among short ones.
+A server may answer with errors, stop answering, or run at a fraction of the speed of
+the others, while long jobs run among short ones.
 
-Without it: a failing server is the fastest to be free again and draws all requests
-(a black hole); a slow one holds slots and callers; ejection without a floor removes a
-whole service when all its servers are slow at once; judging by seconds alone ejects
-the server that happens to run the long jobs.
+Without ejection a failing server is the first to be free again and attracts all
+requests (a black hole), and a slow server holds slots and callers. Ejection without a
+limit removes a whole service when all its servers are slow at once. Judging by elapsed
+time alone ejects the server that happens to run the long jobs.
 
-Grounds of the figures: stated beside each constant; `docs/design/outliers.md` has the
-measurements.
+See `docs/design/outliers.md` for the measurements behind the constants.
 """
 
 from __future__ import annotations
@@ -22,42 +21,44 @@
 from celeryspan import ids
 from celeryspan.decisions import pacing
 
-FAILURES_IN_ROW = 5
-"""Failures that eject a server: with one in ten requests failing by chance, five in a
-row come once in 100,000 requests."""
+FAILURES_TO_EJECT = 5
+"""Consecutive failures that eject a server: if one in ten requests fails at random,
+five in a row occur once in 100,000 requests."""
 
-FAILURE_SHARE = 0.5
-"""Share of recent requests that failed, above which a server is ejected."""
+MAX_FAILURE_SHARE = 0.5
+"""Share of failed recent requests above which a server is ejected."""
 
-SLOW_FACTOR = 3.0
-"""Seconds per cost unit over the median of the service that eject a server."""
+MAX_SLOWNESS_FACTOR = 3.0
+"""Ratio of a server's seconds per cost unit to the median of its peers above which it
+is ejected."""
 
 MIN_SAMPLES = 10
-"""Ended requests before a server is judged by its mean."""
+"""Finished requests needed before a server is judged by its averages."""
 
 MIN_RUNNING_SECONDS = 10.0
-"""Sum of the ages of running requests before their speed counts: a server ten times too
-slow ends its tenth request after minutes, but shows within a second with 16 running."""
+"""Total age of the running requests from which their speed counts. A server that is ten
+times too slow finishes its tenth request only after minutes, but with 16 requests
+running it is detected within a second."""
 
-MEMORY = 0.9
-"""Weight kept by earlier requests at each new one: about ten requests count."""
+DECAY = 0.9
+"""Decay of earlier requests at each new one: about the last ten requests count."""
 
-KEPT_SHARE = 0.5
-"""Share of a service's servers that is never ejected: one half carries the load at
-twice the wait, a third would be overloaded and look slow in turn."""
+MIN_ACTIVE_SHARE = 0.5
+"""Share of a service's servers that is never ejected: half of them carry the load at
+twice the wait time, but a third would be overloaded and look slow as well."""
 
-EJECT_SECONDS = 10.0
-"""First ejection; doubles with each that follows."""
+FIRST_EJECTION_SECONDS = 10.0
+"""Duration of a first ejection; it doubles with each further ejection."""
 
-MAX_EJECT_SECONDS = 300.0
-"""Longest ejection: a repaired server is back within five minutes."""
+MAX_EJECTION_SECONDS = 300.0
+"""Maximum duration of an ejection: a repaired server returns within five minutes."""
 
 TRIAL_ANSWERS = 3
-"""Answers in a row, one at a time, that end a trial."""
+"""Consecutive answers, one request at a time, that end a trial."""
 
 
 class Standing(enum.Enum):
-    """Whether a server gets new work."""
+    """Whether a server gets new requests."""
 
     GOOD = "good"
     EJECTED = "ejected"
@@ -65,73 +66,77 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A server's standing changed."""
+    """Change of a server's standing."""
 
     server: ids.ServerId
     standing: Standing
     reason: str
 
 
-class _Server(msgspec.Struct):
+class _ServerStats(msgspec.Struct):
     standing: Standing = Standing.GOOD
     samples: float = 0.0
     failures: float = 0.0
-    in_row: int = 0
+    consecutive_failures: int = 0
     seconds: float = 0.0
     units: float = 0.0
-    until: float = 0.0
+    ejected_until: float = 0.0
     ejections: int = 0
     trial_answers: int = 0
     running_seconds: float = 0.0
     running_units: float = 0.0
 
-    def learn(self, failed: bool, seconds: float, cost: float) -> None:
-        self.samples = self.samples * MEMORY + 1.0
-        self.failures = self.failures * MEMORY + failed
-        self.in_row = self.in_row + 1 if failed else 0
+    def record(self, failed: bool, seconds: float, cost: float) -> None:
+        self.samples = self.samples * DECAY + 1.0
+        self.failures = self.failures * DECAY + failed
+        self.consecutive_failures = self.consecutive_failures + 1 if failed else 0
         if not failed:
-            self.seconds = self.seconds * MEMORY + seconds
-            self.units = self.units * MEMORY + cost
+            self.seconds = self.seconds * DECAY + seconds
+            self.units = self.units * DECAY + cost
 
-    def forget_samples(self) -> None:
+    def reset(self) -> None:
         self.samples = self.failures = self.seconds = self.units = 0.0
         self.running_seconds = self.running_units = 0.0
-        self.in_row = self.trial_answers = 0
+        self.consecutive_failures = self.trial_answers = 0
 
     @property
-    def known(self) -> bool:
-        """Enough samples: the decayed count tends to ``1 / (1 - MEMORY)``."""
-        return self.samples >= (1.0 - MEMORY**MIN_SAMPLES) / (1.0 - MEMORY) * 0.99
-
-    def ended_speed(self) -> float | None:
-        """Return seconds per cost unit of ended requests, if enough have ended."""
-        return self.seconds / self.units if self.known and self.units else None
-
-    def running_speed(self) -> float | None:
-        """Return seconds per cost unit of running requests, if they run long enough."""
+    def has_enough_samples(self) -> bool:
+        """Whether there are enough samples; the count tends to ``1 / (1 - DECAY)``."""
+        return self.samples >= (1.0 - DECAY**MIN_SAMPLES) / (1.0 - DECAY) * 0.99
+
+    def ended_seconds_per_unit(self) -> float | None:
+        """Return seconds per cost unit of finished requests, or None if too few."""
+        return (
+            self.seconds / self.units
+            if self.has_enough_samples and self.units
+            else None
+        )
+
+    def running_seconds_per_unit(self) -> float | None:
+        """Return seconds per cost unit of running requests, or None if too recent."""
         if self.running_seconds < MIN_RUNNING_SECONDS or not self.running_units:
             return None
         return self.running_seconds / self.running_units
 
 
-class Outliers:
-    """Judges the servers of one service by their answers."""
+class OutlierDetector:
+    """Detects outliers among the servers of one service."""
 
     def __init__(self) -> None:
-        self._servers: dict[ids.ServerId, _Server] = {}
-        self._pacer = pacing.Pacer(pacing.Loop.EJECTION.value)
-        self._trials = pacing.Pacer(pacing.Loop.READMISSION.value)
+        self._servers: dict[ids.ServerId, _ServerStats] = {}
+        self._ejection_limiter = pacing.RateLimiter(pacing.FeedbackLoop.EJECTION.value)
+        self._trial_limiter = pacing.RateLimiter(pacing.FeedbackLoop.READMISSION.value)
 
     def add(self, server: ids.ServerId, now: float) -> None:
-        """Begin to judge a server."""
-        self._servers.setdefault(server, _Server())
+        """Start monitoring a server."""
+        self._servers.setdefault(server, _ServerStats())
 
     def remove(self, server: ids.ServerId) -> None:
-        """Forget a server that is gone."""
+        """Drop the state of a server that is gone."""
         self._servers.pop(server, None)
 
     def servers(self) -> set[ids.ServerId]:
-        """Return the servers that are judged."""
+        """Return the monitored servers."""
         return set(self._servers)
 
     def record(
@@ -142,128 +147,143 @@
         cost: float,
         now: float,
     ) -> list[Change]:
-        """Take in the end of a request; return changes that follow.
+        """Record the end of a request; return the resulting changes.
 
         Parameters
         ----------
         failed : bool
-            Whether the server was at fault.
+            Whether the request failed because of the server.
         seconds : float
-            Time from sending to the end.
+            Time from sending the request to its end.
         cost : float
-            True cost in cost units: slowness is seconds per unit, so that a server is
-            not blamed for long jobs.
+            Actual cost in cost units. Slowness is measured in seconds per unit, so that
+            long jobs do not count against a server.
         """
-        one = self._servers.setdefault(server, _Server())
-        one.learn(failed, seconds, cost)
-        if one.standing is Standing.TRIAL:
-            return self._judge_trial(server, one, failed, now)
-        return self._judge(server, one, now)
+        stats = self._servers.setdefault(server, _ServerStats())
+        stats.record(failed, seconds, cost)
+        if stats.standing is Standing.TRIAL:
+            return self._update_trial(server, stats, failed, now)
+        return self._eject_if_faulty(server, stats, now)
 
-    def observe(
+    def record_running(
         self, server: ids.ServerId, seconds: float, units: float, now: float
     ) -> list[Change]:
-        """Take in what runs at a server; return changes that follow.
+        """Record the progress of running requests; return the resulting changes.
 
-        A server that is far too slow, or silent, ends nothing by which it could be
-        judged; its running streams show it. Call about once a second.
+        A server that is far too slow or silent finishes no requests by which it could
+        be judged, but its running streams show it. Call this about once a second.
 
         Parameters
         ----------
         seconds : float
-            Sum of the times since its running requests gave their first unit: the
-            time before it depends on the prompt.
+            Sum of the times since the first cost unit of each running request. The time
+            before the first unit depends on the prompt and is left out.
         units : float
-            Sum of the cost units that they have given so far; 0 for plain calls.
+            Sum of the cost units produced so far; 0 for plain calls.
         """
-        one = self._servers.setdefault(server, _Server())
-        one.running_seconds, one.running_units = seconds, units
-        if one.standing is not Standing.GOOD:
+        stats = self._servers.setdefault(server, _ServerStats())
+        stats.running_seconds, stats.running_units = seconds, units
+        if stats.standing is not Standing.GOOD:
             return []
-        return self._judge(server, one, now)
+        return self._eject_if_faulty(server, stats, now)
 
-    def _judge(self, server: ids.ServerId, one: _Server, now: float) -> list[Change]:
-        reason = self._find_fault(server, one)
-        if one.standing is Standing.EJECTED or reason is None:
+    def _eject_if_faulty(
+        self, server: ids.ServerId, stats: _ServerStats, now: float
+    ) -> list[Change]:
+        reason = self._find_ejection_reason(server, stats)
+        if stats.standing is Standing.EJECTED or reason is None:
             return []
         if not self._may_eject(now):
             return []
-        return [self._eject(server, one, reason, now)]
+        return [self._eject(server, stats, reason, now)]
 
-    def evaluate(self, now: float) -> list[Change]:
-        """Return changes that are due by time: trials after an ejection."""
+    def start_due_trials(self, now: float) -> list[Change]:
+        """Start the trials of servers with expired ejections; return the changes."""
         changes = []
-        for server, one in self._servers.items():
-            due = one.standing is Standing.EJECTED and now >= one.until
-            if due and self._trials.allow("service", now):
-                one.standing = Standing.TRIAL
-                one.forget_samples()
-                changes.append(Change(server, Standing.TRIAL, "time is over"))
+        for server, stats in self._servers.items():
+            due = stats.standing is Standing.EJECTED and now >= stats.ejected_until
+            if due and self._trial_limiter.allow("service", now):
+                stats.standing = Standing.TRIAL
+                stats.reset()
+                changes.append(Change(server, Standing.TRIAL, "ejection expired"))
         return changes
 
     def standing(self, server: ids.ServerId) -> Standing:
-        """Return the standing of a server; one never seen is good."""
-        one = self._servers.get(server)
-        return one.standing if one else Standing.GOOD
+        """Return the standing of a server; an unknown server is good."""
+        stats = self._servers.get(server)
+        return stats.standing if stats else Standing.GOOD
 
     def slots(self, server: ids.ServerId, window: int) -> int:
-        """Return how many slots of a window may be used: one during a trial."""
+        """Return the usable slots of a window: one during a trial, none if ejected."""
         standing = self.standing(server)
         if standing is Standing.EJECTED:
             return 0
         return min(window, 1) if standing is Standing.TRIAL else window
 
-    def _find_fault(self, server: ids.ServerId, one: _Server) -> str | None:
-        if one.in_row >= FAILURES_IN_ROW:
-            return f"{one.in_row} failures in a row"
-        if one.known and one.failures > FAILURE_SHARE * one.samples:
+    def _find_ejection_reason(
+        self, server: ids.ServerId, stats: _ServerStats
+    ) -> str | None:
+        if stats.consecutive_failures >= FAILURES_TO_EJECT:
+            return f"{stats.consecutive_failures} consecutive failures"
+        if (
+            stats.has_enough_samples
+            and stats.failures > MAX_FAILURE_SHARE * stats.samples
+        ):
             return "more than half of its requests failed"
-        if self._is_slow(server, one):
+        if self._is_slow(server, stats):
             return "far slower than its peers"
         return None
 
-    def _is_slow(self, server: ids.ServerId, one: _Server) -> bool:
-        """Compare with the median of the others, which one slow server cannot move."""
+    def _is_slow(self, server: ids.ServerId, stats: _ServerStats) -> bool:
+        """Compare with the median of the peers, which one slow server cannot shift."""
         peers = [peer for name, peer in self._servers.items() if name != server]
         return _is_outlier(
-            one.ended_speed(), [peer.ended_speed() for peer in peers]
-        ) or _is_outlier(one.running_speed(), [peer.running_speed() for peer in peers])
+            stats.ended_seconds_per_unit(),
+            [peer.ended_seconds_per_unit() for peer in peers],
+        ) or _is_outlier(
+            stats.running_seconds_per_unit(),
+            [peer.running_seconds_per_unit() for peer in peers],
+        )
 
     def _may_eject(self, now: float) -> bool:
-        """Keep half of a service whatever its servers answer.
+        """Whether another ejection leaves enough servers and respects the rate limit.
 
-        If all fail, the cause is the path or the requests; ejecting all would turn a
-        partial failure into a whole one.
+        If all servers fail, the cause is the network or the requests, and ejecting all
+        of them would turn a partial failure into a complete one.
         """
-        out = sum(one.standing is not Standing.GOOD for one in self._servers.values())
-        if len(self._servers) - out - 1 < KEPT_SHARE * len(self._servers):
+        inactive = sum(
+            stats.standing is not Standing.GOOD for stats in self._servers.values()
+        )
+        if len(self._servers) - inactive - 1 < MIN_ACTIVE_SHARE * len(self._servers):
             return False
-        return self._pacer.allow("service", now)
+        return self._ejection_limiter.allow("service", now)
 
     def _eject(
-        self, server: ids.ServerId, one: _Server, reason: str, now: float
+        self, server: ids.ServerId, stats: _ServerStats, reason: str, now: float
     ) -> Change:
-        seconds = min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0**one.ejections)
-        one.ejections += 1
-        one.standing = Standing.EJECTED
-        one.until = now + seconds
+        seconds = min(
+            MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2.0**stats.ejections
+        )
+        stats.ejections += 1
+        stats.standing = Standing.EJECTED
+        stats.ejected_until = now + seconds
         return Change(server, Standing.EJECTED, reason)
 
-    def _judge_trial(
-        self, server: ids.ServerId, one: _Server, failed: bool, now: float
+    def _update_trial(
+        self, server: ids.ServerId, stats: _ServerStats, failed: bool, now: float
     ) -> list[Change]:
-        if failed or self._is_slow(server, one):
-            return [self._eject(server, one, "failed its trial", now)]
-        one.trial_answers += 1
-        if one.trial_answers < TRIAL_ANSWERS:
+        if failed or self._is_slow(server, stats):
+            return [self._eject(server, stats, "failed its trial", now)]
+        stats.trial_answers += 1
+        if stats.trial_answers < TRIAL_ANSWERS:
             return []
-        one.standing = Standing.GOOD
-        one.ejections = max(0, one.ejections - 1)
+        stats.standing = Standing.GOOD
+        stats.ejections = max(0, stats.ejections - 1)
         return [Change(server, Standing.GOOD, "passed its trial")]
 
 
-def _is_outlier(mine: float | None, others: list[float | None]) -> bool:
-    known = [one for one in others if one is not None]
-    if mine is None or not known:
+def _is_outlier(own: float | None, peers: list[float | None]) -> bool:
+    peer_values = [value for value in peers if value is not None]
+    if own is None or not peer_values:
         return False
-    return mine > SLOW_FACTOR * statistics.median(known)
+    return own > MAX_SLOWNESS_FACTOR * statistics.median(peer_values)
--- a/celeryspan/decisions/placement.py
+++ b/celeryspan/decisions/placement.py
@@ -1,19 +1,20 @@
-"""Which backend server should change to another model, and when none should.
-
-Pattern answered: work for one model waits for minutes while servers of another stand
-idle; demand moves between models over the day. Without this module that capacity idles
-until an operator changes the register. Moved too eagerly, servers spend their time
-loading: a load takes a minute of a server and a share of the weight store's rate, and
-two models that wait in turn would pass a server to and fro.
-
-A server moves only if work has waited for one service, and slots of another have been
-free, at each look for :data:`STEADY_SECONDS`; if what remains covers the giver with
-slots to spare; and not within :data:`REST_SECONDS` of its own last move or
-:data:`MOVE_SECONDS` of any.
-
-Grounds of the figures: a load is taken to last a minute; a move must bring work for
-much longer than it costs, so that a server rests ten times as long. One move a minute
-over the fleet is 60 loads an hour, and at most six for each of ten servers.
+"""Decides which backend server should switch to the model of another service.
+
+Demand shifts between models over the day, so requests for one model can wait for
+minutes while servers of another are idle. Without this module that capacity is unused
+until an operator changes the register. Moving too eagerly makes servers spend their
+time loading: a load takes a server a minute and a share of the weight store's rate, and
+two models under pressure in turn would pass a server back and forth.
+
+A server moves only if requests have waited for the target service, and the source
+service has had free slots, at every check for :data:`MIN_PRESSURE_SECONDS`. The source
+must keep spare slots after the move. A server does not move within
+:data:`SERVER_COOLDOWN_SECONDS` of its own last move, nor within
+:data:`MOVE_INTERVAL_SECONDS` of any move in the fleet.
+
+A load is assumed to take a minute, and a move must bring work for much longer than it
+costs, so the cooldown is ten times as long. One move a minute over the fleet is 60
+loads an hour, and at most six for each of ten servers.
 """
 
 from __future__ import annotations
@@ -25,34 +26,34 @@
 
 from celeryspan import ids
 
-STEADY_SECONDS = 20.0
-"""How long pressure must last; bursts of a few seconds are what queues are for."""
+MIN_PRESSURE_SECONDS = 20.0
+"""Time that pressure must last before a move; queues absorb bursts of a few seconds."""
 
-MOVE_SECONDS = 60.0
-"""Least time between two moves of the fleet: the stated limit, 60 an hour."""
+MOVE_INTERVAL_SECONDS = 60.0
+"""Minimum time between two moves in the fleet: the documented limit of 60 an hour."""
 
-REST_SECONDS = 600.0
-"""Least time between two moves of one server: six an hour at most."""
+SERVER_COOLDOWN_SECONDS = 600.0
+"""Minimum time between two moves of one server: at most six an hour."""
 
-SPARE_PART = 0.3
-"""Part of the giver's slots that must stay free after the move. A server taken from a
-service that is nearly full would only make work wait there instead."""
+MIN_FREE_SHARE = 0.3
+"""Share of the source's slots that must be free after the move. Taking a server from a
+nearly full service would only make requests wait there instead."""
 
-WAITING_PER_SLOT = 0.5
-"""Work waits for want of servers if more than this many requests wait for each slot."""
+STARVED_WAITING_PER_SLOT = 0.5
+"""Waiting requests per slot from which a service counts as short of servers."""
 
 
 class Pressure(msgspec.Struct, frozen=True):
-    """What the fleet reports of one service.
+    """Load of one service over the whole fleet.
 
     Attributes
     ----------
     waiting : int
-        Requests that wait, over all routers.
+        Requests waiting at all routers.
     busy : int
         Slots in use.
     slots : int
-        Slots there are.
+        Total slots.
     """
 
     waiting: int
@@ -60,43 +61,47 @@
     slots: int
 
     @property
-    def starved(self) -> bool:
-        """Whether work waits for want of servers."""
-        return self.waiting > 0 and self.waiting >= self.slots * WAITING_PER_SLOT
+    def is_starved(self) -> bool:
+        """Whether requests wait because the service has too few servers."""
+        return (
+            self.waiting > 0 and self.waiting >= self.slots * STARVED_WAITING_PER_SLOT
+        )
 
     def can_spare(self, slots: int) -> bool:
-        """Whether the service is well without so many of its slots."""
+        """Whether the service can lose this many slots and keep enough of them free."""
         left = self.slots - slots
-        return self.waiting == 0 and left > 0 and self.busy <= left * (1 - SPARE_PART)
+        return (
+            self.waiting == 0 and left > 0 and self.busy <= left * (1 - MIN_FREE_SHARE)
+        )
 
 
-class Placed(msgspec.Struct, frozen=True):
-    """A model server as it is placed now."""
+class PlacedServer(msgspec.Struct, frozen=True):
+    """Current placement of a model server."""
 
     service: ids.ServiceId
     slots: int
 
 
 class Move(msgspec.Struct, frozen=True):
-    """Let a server load the model of another service."""
+    """Moves a server to another service, whose model it loads."""
 
     server: ids.ServerId
-    giver: ids.ServiceId
-    taker: ids.ServiceId
+    source: ids.ServiceId
+    target: ids.ServiceId
 
 
-class Placement:
-    """Judges the pressure on the services of one fleet."""
+class PlacementPlanner:
+    """Plans moves from the pressure on the services of one fleet."""
 
     def __init__(self) -> None:
-        self._since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
-        self._moved_at: dict[ids.ServerId, float] = {}
-        self._last_move = -math.inf
+        self._candidate_since: dict[tuple[ids.ServiceId, ids.ServiceId], float] = {}
+        self._last_moves: dict[ids.ServerId, float] = {}
+        self._last_fleet_move = -math.inf
 
-    def choose(
+    def choose_move(
         self,
         pressures: Mapping[ids.ServiceId, Pressure],
-        servers: Mapping[ids.ServerId, Placed],
+        servers: Mapping[ids.ServerId, PlacedServer],
         now: float,
     ) -> Move | None:
         """Return the move to make now, or None.
@@ -106,44 +111,52 @@
         servers : mapping
             Model servers that are neither leaving nor loading.
         """
-        wanted = self._list_wanted(pressures, servers, now)
-        self._follow(wanted, now)
-        if now - self._last_move < MOVE_SECONDS:
+        candidates = self._find_candidates(pressures, servers, now)
+        self._track_candidates(candidates, now)
+        if now - self._last_fleet_move < MOVE_INTERVAL_SECONDS:
             return None
-        for move in wanted.values():
-            if now - self._since[move.giver, move.taker] >= STEADY_SECONDS:
+        for move in candidates.values():
+            if (
+                now - self._candidate_since[move.source, move.target]
+                >= MIN_PRESSURE_SECONDS
+            ):
                 return move
         return None
 
-    def note_move(self, server: ids.ServerId, now: float) -> None:
-        """Note a move, also one that another holder of the duty has made."""
-        self._moved_at[server] = self._last_move = now
-        self._since.clear()
+    def record_move(self, server: ids.ServerId, now: float) -> None:
+        """Record a move, including one made by another router with the planner duty."""
+        self._last_moves[server] = self._last_fleet_move = now
+        self._candidate_since.clear()
 
-    def _list_wanted(
+    def _find_candidates(
         self,
         pressures: Mapping[ids.ServiceId, Pressure],
-        servers: Mapping[ids.ServerId, Placed],
+        servers: Mapping[ids.ServerId, PlacedServer],
         now: float,
     ) -> dict[tuple[ids.ServiceId, ids.ServiceId], Move]:
         starved = sorted(
-            (name for name, pressure in pressures.items() if pressure.starved),
+            (name for name, pressure in pressures.items() if pressure.is_starved),
             key=lambda name: -pressures[name].waiting,
         )
-        wanted: dict[tuple[ids.ServiceId, ids.ServiceId], Move] = {}
-        for taker in starved:
+        candidates: dict[tuple[ids.ServiceId, ids.ServiceId], Move] = {}
+        for target in starved:
             for server, placed in sorted(servers.items()):
-                pair = (placed.service, taker)
+                pair = (placed.service, target)
                 pressure = pressures.get(placed.service)
-                if pressure is None or pair in wanted or placed.service == taker:
+                if pressure is None or pair in candidates or placed.service == target:
                     continue
-                rested = now - self._moved_at.get(server, -math.inf) >= REST_SECONDS
-                if rested and pressure.can_spare(placed.slots):
-                    wanted[pair] = Move(server, placed.service, taker)
-        return wanted
-
-    def _follow(
-        self, wanted: Mapping[tuple[ids.ServiceId, ids.ServiceId], Move], now: float
+                has_cooled_down = (
+                    now - self._last_moves.get(server, -math.inf)
+                    >= SERVER_COOLDOWN_SECONDS
+                )
+                if has_cooled_down and pressure.can_spare(placed.slots):
+                    candidates[pair] = Move(server, placed.service, target)
+        return candidates
+
+    def _track_candidates(
+        self, candidates: Mapping[tuple[ids.ServiceId, ids.ServiceId], Move], now: float
     ) -> None:
-        """Remember since when each move has been wanted without a break."""
-        self._since = {pair: self._since.get(pair, now) for pair in wanted}
+        """Track since when each move has been a candidate without interruption."""
+        self._candidate_since = {
+            pair: self._candidate_since.get(pair, now) for pair in candidates
+        }
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -1,4 +1,4 @@
-"""Prefix affinity, judged by what callers wait and by how servers are loaded."""
+"""Tests for prefix affinity, by caller wait times and server load."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
         routing.CacheEvent(first + index, True, block)
         for index, block in enumerate(PROMPT)
     ]
-    cache.apply(ids.ServerId(server), events, events[-1].sequence, 0.0)
+    cache.apply_events(ids.ServerId(server), events, events[-1].sequence, 0.0)
 
 
-def test_a_hot_prefix_does_not_make_one_server_the_bottleneck() -> None:
-    """Every planner asks about the same storm, and all wait for one of six servers.
+def test_hot_prefix_does_not_overload_one_server() -> None:
+    """Guards against strict affinity for a hot prefix.
 
-    Six in ten prompts share a prefix. Pinned to the server that has it cached, they
-    wait for minutes while the other servers idle.
+    Six in ten prompts share a prefix. Pinned to the one of six servers that has it
+    cached, they wait for minutes while the other servers idle.
     """
     spread = patterns.measure("hot prefix, busy", "celeryspan", (1,))
     pinned = patterns.measure("hot prefix, busy", "pinned by prefix", (1,))
@@ -40,7 +40,7 @@
     assert spread["wait_p99"] < pinned["wait_p99"] / 5
 
 
-def test_prefixes_are_reused_at_half_load_though_events_are_lost() -> None:
+def test_prefixes_are_reused_at_half_load_despite_lost_events() -> None:
     blind = patterns.measure("many prefixes, half load", "no affinity", (1,))
     lossy = patterns.measure(
         "many prefixes, half load", "celeryspan, 30% of events lost", (1,)
@@ -48,58 +48,60 @@
     assert lossy["seconds_per_call"] < 0.7 * blind["seconds_per_call"]
 
 
-def test_a_gap_lowers_trust_and_answers_restore_it() -> None:
+def test_event_gap_lowers_confidence_and_answers_restore_it() -> None:
     cache = routing.CacheMap()
     store(cache, "s0")
-    assert cache.cached(NAMES[0], PROMPT) == 4.0
+    assert cache.expected_blocks(NAMES[0], PROMPT) == 4.0
     store(cache, "s0", first=40)
-    assert cache.cached(NAMES[0], PROMPT) < 4.0
+    assert cache.expected_blocks(NAMES[0], PROMPT) < 4.0
     for _ in range(30):
-        cache.observe(NAMES[0], expected=4, cached=4)
-    assert cache.cached(NAMES[0], PROMPT) > 3.9
+        cache.record_cached(NAMES[0], expected=4, cached=4)
+    assert cache.expected_blocks(NAMES[0], PROMPT) > 3.9
 
 
-def test_first_prompts_do_not_lower_trust() -> None:
-    """A farm's season history is sent to the server that has it, prompt by prompt.
+def test_new_blocks_do_not_lower_confidence() -> None:
+    """Guards against counting new blocks of a prompt as cache misses.
 
-    Each prompt ends in blocks that no server has seen. Held against the whole prompt,
-    every answer looked like a broken promise, and trust fell to its floor everywhere.
+    Prompts with a shared prefix end in blocks that no server has seen. When the cached
+    blocks were compared with the whole prompt, every answer counted as a miss, and the
+    confidence in all servers fell to its minimum.
     """
     cache = routing.CacheMap()
     store(cache, "s0")
     for number in range(30):
         prompt = (*PROMPT, 1000 + number)
-        expected = cache.sent(NAMES[0], prompt, 0.0)
-        cache.observe(NAMES[0], expected, cached=4)
-    assert cache.cached(NAMES[0], PROMPT) == 4.0
+        expected = cache.record_sent(NAMES[0], prompt, 0.0)
+        cache.record_cached(NAMES[0], expected, cached=4)
+    assert cache.expected_blocks(NAMES[0], PROMPT) == 4.0
 
 
-def test_a_server_that_has_started_again_is_believed_empty() -> None:
+def test_restarted_server_is_assumed_empty() -> None:
     cache = routing.CacheMap()
     store(cache, "s0", first=100)
-    cache.apply(NAMES[0], [], 0, 1.0)
-    assert cache.cached(NAMES[0], PROMPT) == 0.0
+    cache.apply_events(NAMES[0], [], 0, 1.0)
+    assert cache.expected_blocks(NAMES[0], PROMPT) == 0.0
 
 
-def test_memory_is_bounded() -> None:
-    cache = routing.CacheMap(max_blocks=100)
+def test_number_of_pairs_is_bounded() -> None:
+    cache = routing.CacheMap(max_pairs=100)
     for block in range(1000):
-        cache.sent(NAMES[block % 5], (block,), 0.0)
+        cache.record_sent(NAMES[block % 5], (block,), 0.0)
     assert cache.count_pairs() <= 100
 
 
-def test_best_elsewhere_leaves_out_the_server_itself() -> None:
+def test_max_expected_elsewhere_excludes_the_server_itself() -> None:
     cache = routing.CacheMap()
     store(cache, "s0")
-    cache.sent(NAMES[1], PROMPT[:2], 0.0)
-    assert cache.best_elsewhere(NAMES[0], PROMPT) == 2.0
-    assert cache.best_elsewhere(NAMES[1], PROMPT) == 4.0
+    cache.record_sent(NAMES[1], PROMPT[:2], 0.0)
+    assert cache.max_expected_elsewhere(NAMES[0], PROMPT) == 2.0
+    assert cache.max_expected_elsewhere(NAMES[1], PROMPT) == 4.0
 
 
-def test_routers_that_have_just_started_spread_prefixes_and_agree() -> None:
-    """All routers restart at once and one server gets every prompt.
+def test_restarted_routers_spread_prefixes_and_agree() -> None:
+    """Guards against one server getting every prompt after all routers restart.
 
-    None knows any cache yet; choosing the first of equals sends all to the same server.
+    No router has cache data yet, so choosing the first of equal servers would send all
+    prompts to the same one.
     """
     rng = random.Random(1)
     chosen = collections.Counter()
@@ -107,7 +109,9 @@
     for prefix in range(500):
         work = make_work((prefix,))
         picks = {
-            routing.Routing(routing.CacheMap()).choose(work, candidates, 0.0, rng)
+            routing.AffinityRouting(routing.CacheMap()).choose_server(
+                work, candidates, 0.0, rng
+            )
             for _ in range(3)
         }
         assert len(picks) == 1
@@ -116,8 +120,8 @@
 
 
 def test_full_and_excluded_servers_are_not_chosen() -> None:
-    control = routing.Routing(routing.CacheMap())
+    control = routing.AffinityRouting(routing.CacheMap())
     candidates = [routing.Candidate(NAMES[0], 8, 8), routing.Candidate(NAMES[1], 8, 7)]
     rng = random.Random(1)
-    assert control.choose(make_work(PROMPT), candidates, 0.0, rng) == NAMES[1]
-    assert control.choose(make_work(PROMPT), candidates[:1], 0.0, rng) is None
+    assert control.choose_server(make_work(PROMPT), candidates, 0.0, rng) == NAMES[1]
+    assert control.choose_server(make_work(PROMPT), candidates[:1], 0.0, rng) is None
