--- a/bench/engines/policies.py
+++ b/bench/engines/policies.py
@@ -212,13 +212,13 @@
     def _note(self, answers: list[pools.Answer], now: float) -> list[pools.Answer]:
         for answer in answers:
             message = answer.message
-            self._pressures.note(message.pool, message.pressure, now)
+            self._pressures.record(message.pool, message.pressure, now)
         return answers
 
     def _send_shares(self, now: float) -> None:
         for dimension in range(len(self._pools).bit_length() - 1):
             for shard, pool in enumerate(self._pools):
                 partner = self._pools[shard ^ (1 << dimension)]
-                units = pool.add_up_shares(dimension, now)
+                units = pool.sum_shares(dimension, now)
                 told = messages.PoolShares(partner.name, dimension, units)
                 partner.receive_shares(told, now)
--- a/celeryspan/decisions/accountshares.py
+++ b/celeryspan/decisions/accountshares.py
@@ -21,11 +21,11 @@
 
 from celeryspan import ids
 
-FADE_SECONDS = 3.0
+DECAY_SECONDS = 3.0
 """Time after which a third of a share counts: fairness is promised over six seconds,
 and the share of a window that long must not hang on what was before it."""
 
-FORGOTTEN = 0.01
+UNITS_MIN = 0.01
 """A share below this many units is dropped, so that the table stays small."""
 
 REBASE_SECONDS = 30.0
@@ -42,61 +42,61 @@
     def __init__(self) -> None:
         # All values are as of ``_base``: a unit begun later counts for more than one.
         self._own: Units = {}
-        self._heard: dict[int, Units] = {}
-        self._base = 0.0
+        self._received: dict[int, Units] = {}
+        self._reference_time = 0.0
 
     def charge(self, account: ids.AccountId, units: float, now: float) -> None:
         """Count service that begins now in this shard."""
-        weight = self._weigh(now)
+        weight = self._current_weight(now)
         self._own[account] = self._own.get(account, 0.0) + units * weight
 
-    def hear(
+    def receive(
         self, dimension: int, units: Mapping[ids.AccountId, float], now: float
     ) -> None:
         """Take in what the partner in a dimension knows; replaces what it said."""
-        weight = self._weigh(now)
-        self._heard[dimension] = {
+        weight = self._current_weight(now)
+        self._received[dimension] = {
             account: value * weight for account, value in units.items()
         }
 
-    def add_up(self, dimension: int, now: float) -> Units:
+    def sum_units(self, dimension: int, now: float) -> Units:
         """Return what the partner in a dimension is to be told."""
-        weight = self._weigh(now)
+        weight = self._current_weight(now)
         total = dict(self._own)
         for lower in range(dimension):
-            for account, value in self._heard.get(lower, {}).items():
+            for account, value in self._received.get(lower, {}).items():
                 total[account] = total.get(account, 0.0) + value
         return {
             account: value / weight
             for account, value in total.items()
-            if value / weight > FORGOTTEN
+            if value / weight > UNITS_MIN
         }
 
     def level(self, account: ids.AccountId) -> float:
         """Return what an account got in all shards, to be compared with others."""
-        heard = (units.get(account, 0.0) for units in self._heard.values())
+        heard = (units.get(account, 0.0) for units in self._received.values())
         return self._own.get(account, 0.0) + sum(heard)
 
     def measure(self, account: ids.AccountId, now: float) -> float:
         """Return what an account got in all shards of late, in units as of now."""
-        return self.level(account) / self._weigh(now)
+        return self.level(account) / self._current_weight(now)
 
-    def _weigh(self, now: float) -> float:
+    def _current_weight(self, now: float) -> float:
         """Return what a unit that begins now counts for."""
-        if now - self._base > REBASE_SECONDS:
-            factor = math.exp(-(now - self._base) / FADE_SECONDS)
-            self._base = now
+        if now - self._reference_time > REBASE_SECONDS:
+            factor = math.exp(-(now - self._reference_time) / DECAY_SECONDS)
+            self._reference_time = now
             self._own = _scale(self._own, factor)
-            self._heard = {
+            self._received = {
                 dimension: _scale(units, factor)
-                for dimension, units in self._heard.items()
+                for dimension, units in self._received.items()
             }
-        return math.exp((now - self._base) / FADE_SECONDS)
+        return math.exp((now - self._reference_time) / DECAY_SECONDS)
 
 
 def _scale(units: Units, factor: float) -> Units:
     return {
         account: value * factor
         for account, value in units.items()
-        if value * factor > FORGOTTEN
+        if value * factor > UNITS_MIN
     }
--- a/celeryspan/decisions/longprompts.py
+++ b/celeryspan/decisions/longprompts.py
@@ -18,25 +18,25 @@
 import math
 from typing import NamedTuple
 
-APART_USE = 0.6
+DEDICATED_UTILISATION = 0.6
 """Part of the time that engines set apart shall read: one that reads all the time
 makes the next long prompt wait for as long as the one before it takes."""
 
-APART_SHARE_MAX = 0.34
+DEDICATED_SHARE_MAX = 0.34
 """Part of the engines that may be set apart."""
 
-APART_FADE_SECONDS = 10.0
+LOAD_DECAY_SECONDS = 10.0
 """Time over which the reading of long prompts is averaged."""
 
-FORGOTTEN_FADES = 5
+RETENTION_DECAYS = 5
 """A prompt is forgotten after so many fades: it counts for less than a hundredth."""
 
-RATIO_RISE = 0.3
-RATIO_FALL = 0.1
+RATIO_RISE_WEIGHT = 0.3
+RATIO_FALL_WEIGHT = 0.1
 """Part of the way that the ratio follows one pause, up and down: it settles where one
 pause in four is longer than it says, and one hiccup of a router is soon forgotten."""
 
-FIRST_PAUSES = 5
+PRIOR_PAUSES = 5
 """What the model's word counts for, in pauses: the first move the ratio by a sixth,
 a seventh and so on."""
 
@@ -62,7 +62,7 @@
 
     def __init__(self) -> None:
         self.ratio = 1.0
-        self._pauses = 0
+        self._pause_samples = 0
         self._arrivals: collections.deque[_Arrival] = collections.deque()
         self._load = 0.0
 
@@ -76,7 +76,9 @@
         """
         return pause * self.ratio > limit
 
-    def note_arrival(self, pause: float, limit: float, read: float, now: float) -> None:
+    def record_arrival(
+        self, pause: float, limit: float, read: float, now: float
+    ) -> None:
         """Count a prompt, and the seconds to read it, if the model calls it long.
 
         It counts for nothing while pauses turn out to be shorter, and again when they
@@ -86,7 +88,7 @@
             self._arrivals.append(_Arrival(now, pause, limit, read))
             self.update(now)
 
-    def learn(self, pause: float, seen: float) -> None:
+    def record_pause(self, pause: float, observed: float) -> None:
         """Take in the longest pause of a stream beside which a long prompt was read.
 
         Parameters
@@ -95,25 +97,25 @@
             What the model said, and what the caller saw, in seconds.
         """
         low, high = RATIO_RANGE
-        found = min(max(seen / pause, low), high)
-        part = RATIO_RISE if found > self.ratio else RATIO_FALL
-        self._pauses += 1
-        part = max(part, 1 / (self._pauses + FIRST_PAUSES))
-        self.ratio += (found - self.ratio) * part
+        ratio = min(max(observed / pause, low), high)
+        weight = RATIO_RISE_WEIGHT if ratio > self.ratio else RATIO_FALL_WEIGHT
+        self._pause_samples += 1
+        weight = max(weight, 1 / (self._pause_samples + PRIOR_PAUSES))
+        self.ratio += (ratio - self.ratio) * weight
 
     def update(self, now: float) -> None:
         """Work out anew how much of an engine's time long prompts take."""
-        oldest = now - FORGOTTEN_FADES * APART_FADE_SECONDS
+        oldest = now - RETENTION_DECAYS * LOAD_DECAY_SECONDS
         while self._arrivals and self._arrivals[0].at < oldest:
             self._arrivals.popleft()
         read = sum(
-            each.read * math.exp((each.at - now) / APART_FADE_SECONDS)
+            each.read * math.exp((each.at - now) / LOAD_DECAY_SECONDS)
             for each in self._arrivals
             if self.is_long(each.pause, each.limit)
         )
-        self._load = read / APART_FADE_SECONDS
+        self._load = read / LOAD_DECAY_SECONDS
 
-    def count_apart(self, servers: int) -> int:
+    def count_dedicated(self, servers: int) -> int:
         """Return how many of so many engines are set apart."""
-        most = math.floor(servers * APART_SHARE_MAX)
-        return min(most, math.ceil(self._load / APART_USE))
+        most = math.floor(servers * DEDICATED_SHARE_MAX)
+        return min(most, math.ceil(self._load / DEDICATED_UTILISATION))
--- a/celeryspan/decisions/migration.py
+++ b/celeryspan/decisions/migration.py
@@ -40,14 +40,16 @@
     fit = [
         server
         for server in servers
-        if server is not source and server.is_open(now) and not server.reads_long()
+        if server is not source
+        and server.is_available(now)
+        and not server.is_prefilling_long()
     ]
 
     def cost(server: poolservers.PoolServer) -> float:
         is_near = server.entry.data_centre == source.entry.data_centre
         return (
-            PENDING_WEIGHT * server.pending(now)
-            + RUN_WEIGHT * len(server.runs) * server.speed
+            PENDING_WEIGHT * server.pending_seconds(now)
+            + RUN_WEIGHT * len(server.runs) * server.slowdown
             + (0.0 if is_near else OTHER_PLACE_SECONDS)
         )
 
--- a/celeryspan/decisions/paces.py
+++ b/celeryspan/decisions/paces.py
@@ -15,46 +15,46 @@
 
 from celeryspan import ids
 
-FADE_SECONDS = 1.0
+DECAY_SECONDS = 1.0
 """Time after which a place that was given counts for a third."""
 
-FORGOTTEN = 0.01
+COUNT_MIN = 0.01
 """An account whose places count for less than this begins anew."""
 
 
-class _Pace(msgspec.Struct):
+class _DecayingCount(msgspec.Struct):
     since: float
-    noted_at: float
+    decayed_at: float
     count: float = 0.0
 
-    def fade(self, now: float) -> None:
-        self.count *= math.exp(-(now - self.noted_at) / FADE_SECONDS)
-        self.noted_at = now
+    def decay(self, now: float) -> None:
+        self.count *= math.exp(-(now - self.decayed_at) / DECAY_SECONDS)
+        self.decayed_at = now
 
 
-class Paces:
+class PlacementRates:
     """Places given to each account, fading with time."""
 
     def __init__(self) -> None:
-        self._paces: dict[ids.AccountId, _Pace] = {}
+        self._counts: dict[ids.AccountId, _DecayingCount] = {}
 
-    def note(self, account: ids.AccountId, now: float) -> None:
+    def record(self, account: ids.AccountId, now: float) -> None:
         """Count a place given to an account."""
-        pace = self._paces.get(account)
-        if pace is None:
-            pace = self._paces[account] = _Pace(now, now)
-        pace.fade(now)
-        pace.count += 1.0
+        entry = self._counts.get(account)
+        if entry is None:
+            entry = self._counts[account] = _DecayingCount(now, now)
+        entry.decay(now)
+        entry.count += 1.0
 
     def measure(self, account: ids.AccountId, now: float) -> float:
         """Return places a second that an account gets; 0 if it got none of late."""
-        pace = self._paces.get(account)
-        if pace is None:
+        entry = self._counts.get(account)
+        if entry is None:
             return 0.0
-        pace.fade(now)
-        if pace.count < FORGOTTEN:
-            del self._paces[account]
+        entry.decay(now)
+        if entry.count < COUNT_MIN:
+            del self._counts[account]
             return 0.0
         # What has gone on for less than the fade is not a low pace, but a young one.
-        age = 1.0 - math.exp(-(now - pace.since) / FADE_SECONDS)
-        return pace.count / (FADE_SECONDS * max(age, 1.0 / pace.count))
+        age = 1.0 - math.exp(-(now - entry.since) / DECAY_SECONDS)
+        return entry.count / (DECAY_SECONDS * max(age, 1.0 / entry.count))
--- a/celeryspan/decisions/placing.py
+++ b/celeryspan/decisions/placing.py
@@ -35,55 +35,55 @@
 from celeryspan.decisions import engines, longprompts, migration, poolservers
 from celeryspan.wire import messages
 
-READ_WEIGHT = 10.0
+PREFILL_WEIGHT = 10.0
 """Weight of reading against waiting for what is read already."""
 
-AFFINITY_WAIT = 0.25
+AFFINITY_WAIT_SHARE = 0.25
 """Part of the latency objective that a request waits for the server that keeps most of
 its prompt, while others are free: a few ten milliseconds against reading 5,000 tokens
 again, which takes as long and keeps all others at that server waiting as well."""
 
-REGRET_MIN = 0.02
+REGRET_SECONDS_MIN = 0.02
 """Cost in seconds by which another server must be better to be waited for: that of
 reading some 200 tokens or copying 8,000."""
 
-RUN_SECONDS = 0.002
+RUN_COST_SECONDS = 0.002
 """What a run in progress counts for when servers are compared: spreads requests that
 read nothing."""
 
 GAP_MARGIN_SECONDS = 0.02
 """Part of the longest pause that is left for the way of an event to its caller."""
 
-PLACE_SECONDS = 0.002
+REMOTE_COST_SECONDS = 0.002
 """What another data centre counts for, there and back."""
 
-FETCH_TOKENS_MIN = 256
+COPY_TOKENS_MIN = 256
 """Shorter parts are read in 2 ms, as long as it takes to set up a copy."""
 
-FETCH_SETUP_SECONDS = 0.002
+COPY_SETUP_SECONDS = 0.002
 
-FETCH_WEIGHT = 10.0
+COPY_WEIGHT = 10.0
 """Weight of copying kept parts from another engine against waiting: it takes a tenth of
 the time of reading and stops nobody, but uses links that moves need, and memory that
 pushes out what other prompts share. At 3 half of all prompts on a full day were sent
 beside their keeper: 134 GB copied in 50 s; at 10 a quarter less."""
 
-FAILING_SECONDS = 2.0
+FAILURE_COST_SECONDS = 2.0
 """What a server that fails all requests counts for beyond its peers."""
 
-EXPIRE_SECONDS = 0.25
+EXPIRY_INTERVAL_SECONDS = 0.25
 """How often runs are looked through for such as should have ended."""
 
-OVERDUE_SECONDS = 1.0
+EXPIRY_GRACE_SECONDS = 1.0
 """A run is forgotten this long after its timeout: its router ends it then, and if the
 message was lost the place would stay taken for good."""
 
-RUN_MEMORY = 0.01
+RUN_TIME_WEIGHT = 0.01
 """Weight of the newest run in the mean time that runs hold a place: the last hundred
 runs are those of less than a second at a few engines."""
 
 
-class Option(NamedTuple):
+class Candidate(NamedTuple):
     """A server that a request could go to; lower costs are better.
 
     Attributes
@@ -99,16 +99,16 @@
     is_ready: bool
 
 
-class Keeper(NamedTuple):
+class CacheSource(NamedTuple):
     """The engine that keeps most of a prompt, and how many tokens of it."""
 
-    kept: int
+    cached_tokens: int
     server: ids.ServerId
 
 
-NO_KEEPER = Keeper(0, ids.ServerId(""))
+NO_CACHE_SOURCE = CacheSource(0, ids.ServerId(""))
 
-NOWHERE = Option(math.inf, ids.ServerId(""), False)
+NO_CANDIDATE = Candidate(math.inf, ids.ServerId(""), False)
 
 
 class Choice(NamedTuple):
@@ -124,28 +124,28 @@
     regret: float
 
 
-class Placing:
+class Placer:
     """The servers of one pool and what runs there."""
 
     def __init__(self) -> None:
         self._model = engines.EngineModel()
         self._servers: dict[ids.ServerId, poolservers.PoolServer] = {}
-        self._by_order: list[poolservers.PoolServer] = []
-        self._left: dict[ids.ServerId, poolservers.PoolServer] = {}
+        self._ordered_servers: list[poolservers.PoolServer] = []
+        self._removed_servers: dict[ids.ServerId, poolservers.PoolServer] = {}
         self._slots = 0
-        self._rest = 0.0
+        self._burst_pause_seconds = 0.0
         self._engine: catalog.Engine | None = None
-        self._long = longprompts.LongPrompts()
-        self._usual_speed = 1.0
-        self._run_seconds = 0.0
-        self._expire_at = 0.0
+        self._long_prompts = longprompts.LongPrompts()
+        self._median_slowdown = 1.0
+        self._mean_run_seconds = 0.0
+        self._next_expiry_at = 0.0
 
     def set_servers(
         self, entries: Sequence[catalog.ServerEntry], engine: catalog.Engine | None
     ) -> None:
         """Set which servers may get new work; runs at the others go on."""
         self._engine = engine
-        known = {**self._left, **self._servers}
+        known = {**self._removed_servers, **self._servers}
         self._servers = {}
         for entry in entries:
             server = known.pop(entry.server, None)
@@ -153,21 +153,25 @@
                 # A server that has started again keeps no prompt and runs nothing; its
                 # earlier incarnation's places and speed would mislead for seconds.
                 server = _make_server(entry, engine)
-                server.speed = self._usual_speed
+                server.slowdown = self._median_slowdown
             server.entry = entry
             self._servers[entry.server] = server
-        self._by_order = sorted(self._servers.values(), key=lambda each: each.order)
+        self._ordered_servers = sorted(
+            self._servers.values(), key=lambda each: each.order
+        )
         self._slots = sum(entry.slots for entry in entries)
-        self._rest = self._model.rest_seconds(engine) if engine else 0.0
-        self._left = {name: server for name, server in known.items() if server.runs}
+        self._burst_pause_seconds = self._model.rest_seconds(engine) if engine else 0.0
+        self._removed_servers = {
+            name: server for name, server in known.items() if server.runs
+        }
 
-    def is_hopeless(self, ask: messages.SlotRequest) -> bool:
+    def exceeds_memory(self, ask: messages.SlotRequest) -> bool:
         """Whether no server could ever run the request."""
         engine = self._engine
         tokens = ask.prompt_tokens + ask.output_tokens
         return engine is not None and tokens > engine.memory_tokens
 
-    def list_unasked(self) -> list[catalog.ServerEntry]:
+    def pop_unqueried(self) -> list[catalog.ServerEntry]:
         """Return the engines that are to be asked what they keep; each comes once.
 
         A home that has just taken a pool over, or has just started, would read all
@@ -175,12 +179,14 @@
         """
         if self._engine is None:
             return []
-        unasked = [server for server in self._by_order if not server.is_listed]
-        for server in unasked:
-            server.is_listed = True
-        return [server.entry for server in unasked]
+        unqueried = [
+            server for server in self._ordered_servers if not server.is_queried
+        ]
+        for server in unqueried:
+            server.is_queried = True
+        return [server.entry for server in unqueried]
 
-    def add_kept(
+    def add_cached_parts(
         self,
         asked: catalog.ServerEntry,
         parts: Iterable[messages.PromptPart],
@@ -195,50 +201,58 @@
         """
         server = self._servers.get(asked.server)
         if server is not None and not server.entry.succeeds(asked):
-            server.cache.add_kept(parts, now)
+            server.cache.add_cached_parts(parts, now)
 
-    def note_arrival(self, ask: messages.SlotRequest, now: float) -> None:
+    def record_arrival(self, ask: messages.SlotRequest, now: float) -> None:
         """Count the reading of long prompts, so that engines are set apart for it."""
         if self._engine is None:
             return
-        kept = self._find_most_kept(ask)
-        pause = self._make_prompt(ask).pause(kept, 1.0)
-        read = self._model.read_seconds(ask.prompt_tokens - kept, kept)
-        self._long.note_arrival(pause, _limit_pause(ask), read, now)
+        cached = self._count_most_cached(ask)
+        pause = self._make_prompt(ask).pause(cached, 1.0)
+        prefill = self._model.read_seconds(ask.prompt_tokens - cached, cached)
+        self._long_prompts.record_arrival(pause, _pause_limit(ask), prefill, now)
 
     def is_long(self, ask: messages.SlotRequest) -> bool:
         """Whether a prompt is long at the server that keeps most of it."""
         if self._engine is None:
             return False
-        return self._is_long(ask, self._find_most_kept(ask))
+        return self._is_long(ask, self._count_most_cached(ask))
 
-    def is_ready(self, is_long: bool, now: float) -> bool:
+    def has_capacity(self, is_long: bool, now: float) -> bool:
         """Whether any server may get more now, a long prompt or another request."""
-        for server in self._list_for(is_long, now):
-            if not server.is_open(now):
+        for server in self._list_eligible(is_long, now):
+            if not server.is_available(now):
                 continue
-            if not server.reads_long() if is_long else self._is_calm(server, now):
+            if (
+                not server.is_prefilling_long()
+                if is_long
+                else self._has_short_prefill_queue(server, now)
+            ):
                 return True
         return False
 
-    def _is_calm(self, server: poolservers.PoolServer, now: float) -> bool:
-        return server.pending(now) <= poolservers.PENDING_SECONDS
+    def _has_short_prefill_queue(
+        self, server: poolservers.PoolServer, now: float
+    ) -> bool:
+        return server.pending_seconds(now) <= poolservers.PENDING_PREFILL_SECONDS_MAX
 
-    def _list_for(self, is_long: bool, now: float) -> Sequence[poolservers.PoolServer]:
+    def _list_eligible(
+        self, is_long: bool, now: float
+    ) -> Sequence[poolservers.PoolServer]:
         """Return the servers for long prompts, or for other requests.
 
         The same engines are set apart for long ones while their number lasts. Others go
         there only when all the rest is full, so that no place idles while they wait.
         """
-        count = self.count_apart()
+        count = self.count_dedicated()
         if not count:
-            return self._by_order
-        apart, rest = self._by_order[:count], self._by_order[count:]
+            return self._ordered_servers
+        dedicated, rest = self._ordered_servers[:count], self._ordered_servers[count:]
         if is_long:
-            return apart
-        if any(server.is_open(now) for server in rest):
+            return dedicated
+        if any(server.is_available(now) for server in rest):
             return rest
-        return [server for server in apart if not server.reads_long()]
+        return [server for server in dedicated if not server.is_prefilling_long()]
 
     def choose(
         self, ask: messages.SlotRequest, waited: float, now: float
@@ -250,16 +264,16 @@
         waited : float
             Time that the request has waited here, in seconds.
         """
-        barred: Collection[ids.ServerId] = ask.excluded
-        if len(barred) >= len(self._servers):
-            barred = ()  # One that has failed the request may still be all there is.
+        excluded: Collection[ids.ServerId] = ask.excluded
+        if len(excluded) >= len(self._servers):
+            excluded = ()  # One that has failed the request may still be all there is.
         if ask.isolation:
             if not self.can_isolate(ask):
                 return None
-            barred = {*barred, *self._list_isolating()}
+            excluded = {*excluded, *self._find_isolated_runs()}
         if self._engine is None:
-            return self._choose_plain(ask, barred, now)
-        return self._choose_engine(ask, barred, waited, now)
+            return self._choose_plain(ask, excluded, now)
+        return self._choose_engine(ask, excluded, waited, now)
 
     def can_isolate(self, ask: messages.SlotRequest) -> bool:
         """Whether a request that must run apart could get a place now.
@@ -267,20 +281,20 @@
         It runs once at a time, and beside no other such request: if its server
         crashes, no other one can be the cause.
         """
-        running = self._list_isolating()
+        running = self._find_isolated_runs()
         is_alone = all(ask.isolation not in found for found in running.values())
         return is_alone and not self._servers.keys() <= running.keys()
 
-    def _list_isolating(self) -> dict[ids.ServerId, set[int]]:
+    def _find_isolated_runs(self) -> dict[ids.ServerId, set[int]]:
         """Return the servers at which requests run apart, and which ones."""
         found: dict[ids.ServerId, set[int]] = {}
-        for server in [*self._servers.values(), *self._left.values()]:
-            apart = {run.isolation for run in server.runs.values() if run.isolation}
-            if apart:
-                found[server.entry.server] = apart
+        for server in [*self._servers.values(), *self._removed_servers.values()]:
+            dedicated = {run.isolation for run in server.runs.values() if run.isolation}
+            if dedicated:
+                found[server.entry.server] = dedicated
         return found
 
-    def take(
+    def start_run(
         self,
         ask: messages.SlotRequest,
         router: ids.RouterId,
@@ -290,51 +304,57 @@
     ) -> poolservers.Run:
         """Take a place for a request."""
         server = self._servers[name]
-        kept, fetch, source = self._count_kept(ask, server, self._find_keeper(ask, now))
-        read = 0.0
+        cached, copy, source = self._plan_copy(
+            ask, server, self._find_cache_source(ask, now)
+        )
+        prefill = 0.0
         if self._engine is not None:
-            read = self._make_prompt(ask).read(kept, len(server.runs), server.speed)
-            read += fetch
-        pending = server.pending(now)
-        read_until = max(now, server.read_until) + read
-        due_at = read_until + self._model.first_seconds
+            prefill = self._make_prompt(ask).read(
+                cached, len(server.runs), server.slowdown
+            )
+            prefill += copy
+        pending = server.pending_seconds(now)
+        prefill_done_at = max(now, server.prefill_done_at) + prefill
+        due_at = prefill_done_at + self._model.first_seconds
         pause = 0.0
         if self._engine is not None:
-            pause = self._make_prompt(ask).pause(kept, server.speed)
-        limit = _limit_pause(ask)
+            pause = self._make_prompt(ask).pause(cached, server.slowdown)
+        limit = _pause_limit(ask)
         run = poolservers.Run(
             router=router,
             since=now,
-            kept=kept,
-            pending=pending,
-            read=read,
-            speed=server.speed,
+            cached_tokens=cached,
+            pending_seconds=pending,
+            prefill_seconds=prefill,
+            slowdown=server.slowdown,
             due_at=due_at,
             end_at=end_at,
-            is_long=self._long.is_long(pause, limit),
+            is_long=self._long_prompts.is_long(pause, limit),
             pause=pause if pause > limit else 0.0,
             output_tokens=ask.output_tokens,
             parts=ask.parts,
             source=source,
             isolation=ask.isolation,
         )
-        server.add(ask.request, run, now, self._rest)
-        server.cache.use(ask.parts, due_at)
+        server.add(ask.request, run, now, self._burst_pause_seconds)
+        server.cache.record_use(ask.parts, due_at)
         return run
 
-    def hold(self, router: ids.RouterId, run: messages.RunHeld, now: float) -> None:
+    def restore_run(
+        self, router: ids.RouterId, run: messages.RunHeld, now: float
+    ) -> None:
         """Take in a run that another home has placed."""
         server = self._find(run.server)
         if server is None:
             return
-        server.cache.use(run.parts, now)
+        server.cache.record_use(run.parts, now)
         held = poolservers.Run(
             router=router,
             since=now,
-            kept=0,
-            pending=0.0,
-            read=0.0,
-            speed=1.0,
+            cached_tokens=0,
+            pending_seconds=0.0,
+            prefill_seconds=0.0,
+            slowdown=1.0,
             due_at=now,
             end_at=now + run.left,
             is_long=False,
@@ -348,22 +368,24 @@
         server = self._find(name)
         if server is None:
             return
-        readings = server.readings
+        samples = server.slowdown_samples
         server.begin(request, self._model.first_seconds, now)
-        if server.readings != readings:
-            self._spread_speed()
+        if server.slowdown_samples != samples:
+            self._share_slowdown()
 
-    def _spread_speed(self) -> None:
+    def _share_slowdown(self) -> None:
         """Let servers that have read nothing yet be taken for as fast as the others.
 
         The model's times are those of one kind of engine. On another kind each server
         would first be sent twice what it can read in time, and again after a restart.
         """
-        known = [each.speed for each in self._by_order if each.readings]
-        self._usual_speed = statistics.median(known) if known else 1.0
-        for server in self._by_order:
-            if not server.readings:
-                server.speed = self._usual_speed
+        known = [
+            each.slowdown for each in self._ordered_servers if each.slowdown_samples
+        ]
+        self._median_slowdown = statistics.median(known) if known else 1.0
+        for server in self._ordered_servers:
+            if not server.slowdown_samples:
+                server.slowdown = self._median_slowdown
 
     def migrate(
         self, request: ids.RequestId, name: ids.ServerId, now: float
@@ -375,15 +397,15 @@
             return None
         if not migration.pays(self._engine, run.output_tokens):
             return None
-        apart = self._by_order[: self.count_apart()]
-        if source not in apart:
+        dedicated = self._ordered_servers[: self.count_dedicated()]
+        if source not in dedicated:
             return None
-        target = migration.choose_target(source, self._list_for(False, now), now)
+        target = migration.choose_target(source, self._list_eligible(False, now), now)
         if target is None:
             return None
-        moved = msgspec.structs.replace(run, read=0.0, is_long=False)
+        moved = msgspec.structs.replace(run, prefill_seconds=0.0, is_long=False)
         target.add(request, moved, now)
-        target.cache.use(run.parts, now)
+        target.cache.record_use(run.parts, now)
         return target.entry.server
 
     def settle_migration(
@@ -420,26 +442,28 @@
         if run is None:
             return
         if not server.runs:
-            self._left.pop(name, None)
-        server.follow(ending, now - run.since, now)
+            self._removed_servers.pop(name, None)
+        server.record_ending(ending, now - run.since, now)
         if ending is states.RunEnding.ANSWERED:
-            self._run_seconds += (now - run.since - self._run_seconds) * RUN_MEMORY
-            if run.paused_beside and pause:
-                self._long.learn(run.paused_beside, pause)
+            self._mean_run_seconds += (
+                now - run.since - self._mean_run_seconds
+            ) * RUN_TIME_WEIGHT
+            if run.expected_pause and pause:
+                self._long_prompts.record_pause(run.expected_pause, pause)
 
     def forget_router(self, router: ids.RouterId) -> None:
         """Drop the runs of a router that is dead."""
-        for server in [*self._servers.values(), *self._left.values()]:
+        for server in [*self._servers.values(), *self._removed_servers.values()]:
             server.forget(router)
 
     def expire(self, now: float) -> None:
         """Drop runs whose end was never told."""
-        if now < self._expire_at:
+        if now < self._next_expiry_at:
             return
-        self._expire_at = now + EXPIRE_SECONDS
-        self._long.update(now)
-        for server in [*self._servers.values(), *self._left.values()]:
-            server.expire(now - OVERDUE_SECONDS)
+        self._next_expiry_at = now + EXPIRY_INTERVAL_SECONDS
+        self._long_prompts.update(now)
+        for server in [*self._servers.values(), *self._removed_servers.values()]:
+            server.expire(now - EXPIRY_GRACE_SECONDS)
 
     def count_servers(self) -> int:
         """Return how many servers may get new work."""
@@ -449,7 +473,7 @@
         """Return how many places are taken."""
         return sum(
             len(server.runs)
-            for server in [*self._servers.values(), *self._left.values()]
+            for server in [*self._servers.values(), *self._removed_servers.values()]
         )
 
     def measure_pending(self, now: float) -> float:
@@ -460,15 +484,17 @@
         """
         if not self._servers:
             return 0.0
-        most = poolservers.PENDING_SECONDS
-        pending = sum(min(server.pending(now), most) for server in self._by_order)
+        most = poolservers.PENDING_PREFILL_SECONDS_MAX
+        pending = sum(
+            min(server.pending_seconds(now), most) for server in self._ordered_servers
+        )
         return pending / len(self._servers)
 
-    def estimate_turn(self, waiting: int) -> float:
+    def estimate_slot_wait(self, waiting: int) -> float:
         """Return when so many requests have found free places, in seconds."""
-        taken = sum(len(server.runs) for server in self._by_order)
-        lacking = waiting + 1 - (self._slots - taken)
-        return max(0, lacking) * self._run_seconds / max(1, self._slots)
+        taken = sum(len(server.runs) for server in self._ordered_servers)
+        missing = waiting + 1 - (self._slots - taken)
+        return max(0, missing) * self._mean_run_seconds / max(1, self._slots)
 
     def estimate_work(self, ask: messages.SlotRequest) -> float:
         """Return the time that a request takes of one server, if nothing is kept.
@@ -476,7 +502,7 @@
         For plain calls, of one place.
         """
         if self._engine is None:
-            return poolservers.CALL_SECONDS
+            return poolservers.CALL_SECONDS_INITIAL
         return self._model.read_seconds(ask.prompt_tokens, 0)
 
     def estimate_wait(self, work: float) -> float:
@@ -484,149 +510,161 @@
         parts = self._slots if self._engine is None else len(self._servers)
         return work / max(1, parts)
 
-    def estimate_first(self, ask: messages.SlotRequest) -> float:
+    def estimate_first_event(self, ask: messages.SlotRequest) -> float:
         """Return the time from a place to the first event, if the best server is free.
 
         For plain calls, to the answer.
         """
         if self._engine is None:
-            return poolservers.CALL_SECONDS
-        kept = self._find_most_kept(ask)
-        unread = max(0, ask.prompt_tokens - kept)
-        return self._model.first_seconds + self._model.read_seconds(unread, kept)
+            return poolservers.CALL_SECONDS_INITIAL
+        cached = self._count_most_cached(ask)
+        unread = max(0, ask.prompt_tokens - cached)
+        return self._model.first_seconds + self._model.read_seconds(unread, cached)
 
-    def count_apart(self) -> int:
+    def count_dedicated(self) -> int:
         """Return how many engines are set apart for long prompts."""
-        return self._long.count_apart(len(self._servers))
+        return self._long_prompts.count_dedicated(len(self._servers))
 
-    def _find_keeper(self, ask: messages.SlotRequest, now: float) -> Keeper:
+    def _find_cache_source(self, ask: messages.SlotRequest, now: float) -> CacheSource:
         """Return the engine that keeps most of a prompt, if engines copy."""
-        best = NO_KEEPER
+        best = NO_CACHE_SOURCE
         if self._engine is None or not self._engine.copy_token_seconds:
             return best
-        for server in self._by_order:
-            kept = server.cache.count_ready(ask.parts, now)
-            if kept > best.kept and not server.health.rests(now):
-                best = Keeper(kept, server.entry.server)
+        for server in self._ordered_servers:
+            cached = server.cache.count_copyable(ask.parts, now)
+            if cached > best.cached_tokens and not server.health.is_backing_off(now):
+                best = CacheSource(cached, server.entry.server)
         return best
 
-    def _count_kept(
-        self, ask: messages.SlotRequest, server: poolservers.PoolServer, keeper: Keeper
+    def _plan_copy(
+        self,
+        ask: messages.SlotRequest,
+        server: poolservers.PoolServer,
+        cache_source: CacheSource,
     ) -> tuple[int, float, ids.ServerId | None]:
         """Return what need not be read, the time to copy it, and from where."""
-        kept = server.cache.count_kept(ask.parts)
-        lacking = keeper.kept - kept
-        if lacking < FETCH_TOKENS_MIN or self._engine is None:
-            return kept, 0.0, None
-        seconds = FETCH_SETUP_SECONDS + lacking * self._engine.copy_token_seconds
-        return keeper.kept, seconds, keeper.server
-
-    def _find_most_kept(self, ask: messages.SlotRequest) -> int:
-        return max((s.cache.count_kept(ask.parts) for s in self._by_order), default=0)
+        cached = server.cache.count_cached(ask.parts)
+        missing = cache_source.cached_tokens - cached
+        if missing < COPY_TOKENS_MIN or self._engine is None:
+            return cached, 0.0, None
+        seconds = COPY_SETUP_SECONDS + missing * self._engine.copy_token_seconds
+        return cache_source.cached_tokens, seconds, cache_source.server
+
+    def _count_most_cached(self, ask: messages.SlotRequest) -> int:
+        return max(
+            (s.cache.count_cached(ask.parts) for s in self._ordered_servers), default=0
+        )
 
     def _find(self, name: ids.ServerId) -> poolservers.PoolServer | None:
-        return self._servers.get(name) or self._left.get(name)
+        return self._servers.get(name) or self._removed_servers.get(name)
 
     def _choose_plain(
-        self, ask: messages.SlotRequest, barred: Collection[ids.ServerId], now: float
+        self, ask: messages.SlotRequest, excluded: Collection[ids.ServerId], now: float
     ) -> Choice | None:
-        fit = [
+        available = [
             server
-            for server in self._by_order
-            if server.is_open(now) and server.entry.server not in barred
+            for server in self._ordered_servers
+            if server.is_available(now) and server.entry.server not in excluded
         ]
-        if not fit:
+        if not available:
             return None
-        healthy = min(server.health.failing for server in fit)
+        healthy = min(server.health.failure_rate for server in available)
 
         def cost(server: poolservers.PoolServer) -> tuple[float, str]:
             use = (len(server.runs) + 1) / server.entry.slots
-            failing = (server.health.failing - healthy) * FAILING_SECONDS
+            failing = (server.health.failure_rate - healthy) * FAILURE_COST_SECONDS
             return (
-                server.call_seconds * (1.0 + use) + failing + _distance(server, ask),
+                server.call_seconds * (1.0 + use) + failing + _remote_cost(server, ask),
                 server.entry.server,
             )
 
-        return Choice(min(fit, key=cost).entry.server, 0.0)
+        return Choice(min(available, key=cost).entry.server, 0.0)
 
     def _choose_engine(
         self,
         ask: messages.SlotRequest,
-        barred: Collection[ids.ServerId],
+        excluded: Collection[ids.ServerId],
         waited: float,
         now: float,
     ) -> Choice | None:
-        best = ready = NOWHERE
+        best = ready = NO_CANDIDATE
         prompt = self._make_prompt(ask)
-        keeper = self._find_keeper(ask, now)
+        cache_source = self._find_cache_source(ask, now)
         for is_long in (False, True):
-            for server in self._list_for(is_long, now):
-                if not server.is_open(now) or server.entry.server in barred:
+            for server in self._list_eligible(is_long, now):
+                if not server.is_available(now) or server.entry.server in excluded:
                     continue
-                kept, fetch, _ = self._count_kept(ask, server, keeper)
-                if prompt.is_long(kept, server.speed) is not is_long:
+                cached, copy, _ = self._plan_copy(ask, server, cache_source)
+                if prompt.is_long(cached, server.slowdown) is not is_long:
                     continue
-                read = prompt.read(kept, len(server.runs), server.speed)
-                option = self._weigh(ask, server, read, fetch, is_long, now)
+                prefill = prompt.read(cached, len(server.runs), server.slowdown)
+                option = self._make_candidate(ask, server, prefill, copy, is_long, now)
                 best = min(best, option)
                 ready = min(ready, option) if option.is_ready else ready
         if not ready.is_ready:
             return None
         regret = ready.cost - best.cost
-        patience = AFFINITY_WAIT * ask.objective if regret > REGRET_MIN else 0.0
+        patience = (
+            AFFINITY_WAIT_SHARE * ask.objective if regret > REGRET_SECONDS_MIN else 0.0
+        )
         return None if ask.waited + waited < patience else Choice(ready.server, regret)
 
-    def _weigh(
+    def _make_candidate(
         self,
         ask: messages.SlotRequest,
         server: poolservers.PoolServer,
-        read: float,
-        fetch: float,
+        prefill: float,
+        copy: float,
         is_long: bool,
         now: float,
-    ) -> Option:
+    ) -> Candidate:
         """Return what it would mean to place a request at a server."""
-        pending = server.pending(now)
-        cost = pending + READ_WEIGHT * read + RUN_SECONDS * len(server.runs)
-        cost += FETCH_WEIGHT * fetch
-        cost += server.health.failing * FAILING_SECONDS + _distance(server, ask)
+        pending = server.pending_seconds(now)
+        cost = pending + PREFILL_WEIGHT * prefill + RUN_COST_SECONDS * len(server.runs)
+        cost += COPY_WEIGHT * copy
+        cost += server.health.failure_rate * FAILURE_COST_SECONDS + _remote_cost(
+            server, ask
+        )
         if is_long:
-            is_ready = not server.reads_long()
+            is_ready = not server.is_prefilling_long()
         else:
-            is_ready = self._admits(ask, server, pending, read, now)
-        return Option(cost, server.entry.server, is_ready)
+            is_ready = self._can_admit(ask, server, pending, prefill, now)
+        return Candidate(cost, server.entry.server, is_ready)
 
-    def _admits(
+    def _can_admit(
         self,
         ask: messages.SlotRequest,
         server: poolservers.PoolServer,
         pending: float,
-        read: float,
+        prefill: float,
         now: float,
     ) -> bool:
         """Whether a server may get one more prompt now."""
-        burst = server.measure_burst(self._rest, now)
+        burst = server.measure_burst(self._burst_pause_seconds, now)
         if burst <= 0.0 and pending <= 0.0:
             return True
         steps = self._model.gap_seconds(0, 0, ask.stride, len(server.runs))
-        longest = _limit_pause(ask) - steps * server.speed
-        is_soon = pending <= 0.0 or pending + read <= poolservers.PENDING_SECONDS
-        return is_soon and burst + read <= longest
+        longest = _pause_limit(ask) - steps * server.slowdown
+        is_soon = (
+            pending <= 0.0
+            or pending + prefill <= poolservers.PENDING_PREFILL_SECONDS_MAX
+        )
+        return is_soon and burst + prefill <= longest
 
     def _make_prompt(self, ask: messages.SlotRequest) -> engines.Prompt:
         assert self._engine is not None
         return engines.Prompt(
             self._model,
             ask.prompt_tokens,
-            _limit_pause(ask) / self._long.ratio,
+            _pause_limit(ask) / self._long_prompts.ratio,
             self._engine.stride,
             self._engine.slots // 2,
         )
 
     def _is_long(
-        self, ask: messages.SlotRequest, kept: int, speed: float = 1.0
+        self, ask: messages.SlotRequest, cached: int, speed: float = 1.0
     ) -> bool:
-        return self._make_prompt(ask).is_long(kept, speed)
+        return self._make_prompt(ask).is_long(cached, speed)
 
 
 def _make_server(
@@ -636,10 +674,10 @@
     return poolservers.PoolServer(entry, engine, order)
 
 
-def _limit_pause(ask: messages.SlotRequest) -> float:
+def _pause_limit(ask: messages.SlotRequest) -> float:
     """Return the longest pause that streams like this may make, in seconds."""
     return ask.gap_max - GAP_MARGIN_SECONDS
 
 
-def _distance(server: poolservers.PoolServer, ask: messages.SlotRequest) -> float:
-    return 0.0 if server.entry.data_centre == ask.data_centre else PLACE_SECONDS
+def _remote_cost(server: poolservers.PoolServer, ask: messages.SlotRequest) -> float:
+    return 0.0 if server.entry.data_centre == ask.data_centre else REMOTE_COST_SECONDS
--- a/celeryspan/decisions/poolqueue.py
+++ b/celeryspan/decisions/poolqueue.py
@@ -97,7 +97,7 @@
             if self._remove(account, request):
                 return
 
-    def take(self, is_taken: Callable[[Task], bool]) -> list[Task]:
+    def remove_matching(self, is_taken: Callable[[Task], bool]) -> list[Task]:
         """Take out all requests for which something holds, and return them."""
         found = [task for task in self if is_taken(task)]
         for task in found:
--- a/celeryspan/decisions/pools.py
+++ b/celeryspan/decisions/pools.py
@@ -31,15 +31,15 @@
 from celeryspan.decisions import accountshares, paces, placing, poolqueue, poolservers
 from celeryspan.wire import messages
 
-PATIENCE = 0.25
+WAIT_TIMEOUT_SHARE = 0.25
 """Part of the timeout after which a request that waits is refused: the caller can then
 still come back and be served. A late answer is worth more to it than none."""
 
-PATIENCE_OBJECTIVES = 3.0
+WAIT_OBJECTIVES_MAX = 3.0
 """Latency objectives after which a request that waits is refused: callers give up on a
 stream without an event after four of them."""
 
-MARGIN_SECONDS = 0.1
+START_MARGIN_SECONDS = 0.1
 """A request counts as in time only if it could start this much later still: a server
 has up to this much reading before it. With twice the load that engines can read it
 raised the answers in time from 443 of 786 to 649 of 772 (trial of the emulator)."""
@@ -48,20 +48,20 @@
 """What service counts for when an account has only late requests: two thirds of what
 others get, where fairness asks for half."""
 
-QUEUE_OBJECTIVES = 3.0
+ACCOUNT_QUEUE_OBJECTIVES = 3.0
 """Latency objectives of work that one account may have waiting at its pace: as long as
 a request waits at most."""
 
-QUEUE_SERVER_MIN = 16
+ACCOUNT_QUEUE_PER_SERVER_MIN = 16
 """Requests of one account that may wait for each server, whatever its pace."""
 
-NOWHERE = ids.ServerId("")
+NO_SERVER = ids.ServerId("")
 
-LOOK_AHEAD = 10
+LOOKAHEAD_REQUESTS = 10
 """Requests of one account that are weighed against each other: one that fits nowhere
 yet does not hold up the rest, and the choice is bounded in time."""
 
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Refused callers return over a time this much longer than the estimate."""
 
 RETRY_SECONDS_MIN = 0.05
@@ -88,7 +88,7 @@
     run: poolservers.Run | None = None
 
 
-class Turn(NamedTuple):
+class GroupKey(NamedTuple):
     """Requests of one account that are weighed against each other.
 
     Those in time go before the late ones of the same account: its level counts less.
@@ -98,7 +98,7 @@
     account: ids.AccountId
 
 
-Candidates = dict[Turn, list[poolqueue.Task]]
+TasksByGroup = dict[GroupKey, list[poolqueue.Task]]
 
 
 class Pool:
@@ -113,30 +113,30 @@
     def __init__(self, name: ids.PoolId, generator: random.Random) -> None:
         self.name = name
         self._generator = generator
-        self._placing = placing.Placing()
+        self._placer = placing.Placer()
         self._shares = accountshares.AccountShares()
-        self._paces = paces.Paces()
+        self._rates = paces.PlacementRates()
         self._queue = poolqueue.PoolQueue()
-        self._waiting_seconds = 0.0
+        self._queue_seconds = 0.0
 
     def set_servers(
         self, entries: Sequence[catalog.ServerEntry], engine: catalog.Engine | None
     ) -> None:
         """Set which servers may get new work."""
-        self._placing.set_servers(entries, engine)
+        self._placer.set_servers(entries, engine)
 
-    def list_unasked(self) -> list[catalog.ServerEntry]:
+    def pop_unqueried(self) -> list[catalog.ServerEntry]:
         """Return the engines that are to be asked what they keep; each comes once."""
-        return self._placing.list_unasked()
+        return self._placer.pop_unqueried()
 
-    def add_kept(
+    def add_cached_parts(
         self,
         asked: catalog.ServerEntry,
         parts: Iterable[messages.PromptPart],
         now: float,
     ) -> None:
         """Take in what an engine says that it keeps."""
-        self._placing.add_kept(asked, parts, now)
+        self._placer.add_cached_parts(asked, parts, now)
 
     def ask(
         self, router: ids.RouterId, ask: messages.SlotRequest, now: float
@@ -147,42 +147,44 @@
         message took a whole core with some hundred requests waiting.
         """
         task = self._make_task(router, ask, now)
-        if self._placing.is_hopeless(ask):
+        if self._placer.exceeds_memory(ask):
             return [self._refuse(task, "too-large", now)]
-        self._placing.note_arrival(ask, now)
-        if self._is_full(ask, now):
+        self._placer.record_arrival(ask, now)
+        if self._exceeds_queue_limit(ask, now):
             return [self._refuse(task, "no-place-in-time", now)]
         others_wait = bool(self._queue)
         self._queue.add(task)
         return [] if others_wait else self.decide(now)
 
-    def _is_full(self, ask: messages.SlotRequest, now: float) -> bool:
+    def _exceeds_queue_limit(self, ask: messages.SlotRequest, now: float) -> bool:
         """Whether more of an account waits than gets places in time.
 
         Without a server there is no pace to go by: the list may be late.
         """
-        servers = self._placing.count_servers()
+        servers = self._placer.count_servers()
         waiting = self._queue.count(ask.account)
-        if not servers or waiting < QUEUE_SERVER_MIN * servers:
+        if not servers or waiting < ACCOUNT_QUEUE_PER_SERVER_MIN * servers:
             return False
-        pace = self._paces.measure(ask.account, now)
-        return waiting >= pace * ask.objective * QUEUE_OBJECTIVES
+        rate = self._rates.measure(ask.account, now)
+        return waiting >= rate * ask.objective * ACCOUNT_QUEUE_OBJECTIVES
 
     def _make_task(
         self, router: ids.RouterId, ask: messages.SlotRequest, now: float
     ) -> poolqueue.Task:
         arrived = now - ask.waited
-        first = self._placing.estimate_first(ask)
-        patience = min(ask.timeout * PATIENCE, ask.objective * PATIENCE_OBJECTIVES)
+        first_event = self._placer.estimate_first_event(ask)
+        patience = min(
+            ask.timeout * WAIT_TIMEOUT_SHARE, ask.objective * WAIT_OBJECTIVES_MAX
+        )
         return poolqueue.Task(
             ask,
             router,
             arrived_at=now,
-            start_by=arrived + ask.objective - first - MARGIN_SECONDS,
-            give_up_at=arrived + patience - first,
+            start_by=arrived + ask.objective - first_event - START_MARGIN_SECONDS,
+            give_up_at=arrived + patience - first_event,
             end_at=arrived + ask.timeout,
-            is_long=self._placing.is_long(ask),
-            work=self._placing.estimate_work(ask),
+            is_long=self._placer.is_long(ask),
+            work=self._placer.estimate_work(ask),
         )
 
     def cancel(self, request: ids.RequestId) -> None:
@@ -193,12 +195,12 @@
         self, request: ids.RequestId, server: ids.ServerId, now: float
     ) -> ids.ServerId | None:
         """Note the first event of a run; returns where it is to go on, if it moves."""
-        self._placing.begin(request, server, now)
-        return self._placing.migrate(request, server, now)
+        self._placer.begin(request, server, now)
+        return self._placer.migrate(request, server, now)
 
     def settle_migration(self, moved: messages.RunMoved, now: float) -> None:
         """Take back the place that a run has left, or did not move to."""
-        self._placing.settle_migration(
+        self._placer.settle_migration(
             moved.request, moved.server, moved.target, now, is_moved=moved.is_moved
         )
 
@@ -211,16 +213,18 @@
         pause: float = 0.0,
     ) -> None:
         """Take a place back; ``pause`` is the longest between two events."""
-        self._placing.end(request, server, ending, now, pause)
+        self._placer.end(request, server, ending, now, pause)
 
-    def hold(self, router: ids.RouterId, run: messages.RunHeld, now: float) -> None:
+    def restore_run(
+        self, router: ids.RouterId, run: messages.RunHeld, now: float
+    ) -> None:
         """Take in a run that another home has placed."""
-        self._placing.hold(router, run, now)
+        self._placer.restore_run(router, run, now)
 
     def forget_router(self, router: ids.RouterId) -> None:
         """Drop the requests and runs of a router that is dead."""
-        self._queue.take(lambda task: task.router == router)
-        self._placing.forget_router(router)
+        self._queue.remove_matching(lambda task: task.router == router)
+        self._placer.forget_router(router)
 
     def list_routers(self) -> set[ids.RouterId]:
         """Return the routers whose requests wait here."""
@@ -238,13 +242,13 @@
 
     def count_runs(self) -> int:
         """Return how many places are taken."""
-        return self._placing.count_runs()
+        return self._placer.count_runs()
 
-    def add_up_shares(
+    def sum_shares(
         self, dimension: int, now: float
     ) -> tuple[messages.AccountUnits, ...]:
         """Return what the partner in a dimension is to be told of accounts."""
-        units = self._shares.add_up(dimension, now)
+        units = self._shares.sum_units(dimension, now)
         return tuple(
             messages.AccountUnits(name, value) for name, value in units.items()
         )
@@ -252,18 +256,18 @@
     def receive_shares(self, told: messages.PoolShares, now: float) -> None:
         """Take in what another shard says that accounts have begun."""
         units = {each.account: each.units for each in told.units}
-        self._shares.hear(told.dimension, units, now)
+        self._shares.receive(told.dimension, units, now)
 
     def measure_pressure(self, now: float) -> float:
         """Return how long a request that comes now would wait, in seconds."""
-        turn = self._placing.estimate_turn(self.count_waiting())
-        return max(turn, self._waiting_seconds) + self._placing.measure_pending(now)
+        slot_wait = self._placer.estimate_slot_wait(self.count_waiting())
+        return max(slot_wait, self._queue_seconds) + self._placer.measure_pending(now)
 
     def tick(self, now: float) -> list[Answer]:
         """Decide again: servers have read on, and some have waited too long."""
-        self._placing.expire(now)
+        self._placer.expire(now)
         answers = self._expire(now) + self.decide(now)
-        self._waiting_seconds = self._estimate_wait()
+        self._queue_seconds = self._estimate_wait()
         return answers
 
     def decide(self, now: float) -> list[Answer]:
@@ -274,43 +278,43 @@
         """
         answers: list[Answer] = []
         for is_long in (False, True):
-            if self._placing.is_ready(is_long, now):
-                candidates = self._list(is_long, now)
-                answers += self._decide_for(candidates, is_long, now)
+            if self._placer.has_capacity(is_long, now):
+                candidates = self._group_waiting(is_long, now)
+                answers += self._place_groups(candidates, is_long, now)
         return answers
 
-    def _list(self, is_long: bool, now: float) -> Candidates:
+    def _group_waiting(self, is_long: bool, now: float) -> TasksByGroup:
         """Return the requests of each account that fit, oldest first."""
-        found: Candidates = {}
+        found: TasksByGroup = {}
         for task in self._queue:
-            if task.is_long == is_long and self._can_run(task.ask):
-                turn = Turn(task.start_by < now, task.ask.account)
-                found.setdefault(turn, []).append(task)
+            if task.is_long == is_long and self._can_place(task.ask):
+                group = GroupKey(task.start_by < now, task.ask.account)
+                found.setdefault(group, []).append(task)
         for fitting in found.values():
             fitting.sort(key=lambda task: task.arrived_at)
         return found
 
-    def _can_run(self, ask: messages.SlotRequest) -> bool:
+    def _can_place(self, ask: messages.SlotRequest) -> bool:
         """Whether a request need not wait for others that run apart, as it must."""
-        return not ask.isolation or self._placing.can_isolate(ask)
+        return not ask.isolation or self._placer.can_isolate(ask)
 
-    def _decide_for(
-        self, candidates: Candidates, is_long: bool, now: float
+    def _place_groups(
+        self, candidates: TasksByGroup, is_long: bool, now: float
     ) -> list[Answer]:
         answers: list[Answer] = []
-        while candidates and self._placing.is_ready(is_long, now):
-            turn = min(candidates, key=self._rank)
-            answer = self._place_one(candidates[turn], now)
+        while candidates and self._placer.has_capacity(is_long, now):
+            group = min(candidates, key=self._priority)
+            answer = self._place_one(candidates[group], now)
             if answer is not None:
                 answers.append(answer)
-            if answer is None or not candidates[turn]:
-                del candidates[turn]
+            if answer is None or not candidates[group]:
+                del candidates[group]
         return answers
 
-    def _rank(self, turn: Turn) -> tuple[float, Turn]:
+    def _priority(self, group: GroupKey) -> tuple[float, GroupKey]:
         """Return the place of an account in line; the least goes first."""
-        level = self._shares.level(turn.account)
-        return level * (LATE_WEIGHT if turn.is_late else 1.0), turn
+        level = self._shares.level(group.account)
+        return level * (LATE_WEIGHT if group.is_late else 1.0), group
 
     def _place_one(self, tasks: list[poolqueue.Task], now: float) -> Answer | None:
         """Place one of the oldest requests, and take it out.
@@ -319,8 +323,8 @@
         a time is free, and would read again what another one keeps.
         """
         best: tuple[float, int, ids.ServerId] | None = None
-        for index, task in enumerate(tasks[:LOOK_AHEAD]):
-            choice = self._placing.choose(task.ask, now - task.arrived_at, now)
+        for index, task in enumerate(tasks[:LOOKAHEAD_REQUESTS]):
+            choice = self._placer.choose(task.ask, now - task.arrived_at, now)
             if choice is None:
                 continue
             if best is None or choice.regret < best[0]:
@@ -333,23 +337,23 @@
 
     def _offer(self, task: poolqueue.Task, server: ids.ServerId, now: float) -> Answer:
         self._queue.remove(task)
-        run = self._placing.take(task.ask, task.router, server, task.end_at, now)
+        run = self._placer.start_run(task.ask, task.router, server, task.end_at, now)
         self._shares.charge(task.ask.account, task.units, now)
-        self._paces.note(task.ask.account, now)
+        self._rates.record(task.ask.account, now)
         pressure = self.measure_pressure(now)
         offer = messages.SlotOffer(
-            task.ask.request, self.name, server, pressure, run.source or NOWHERE
+            task.ask.request, self.name, server, pressure, run.source or NO_SERVER
         )
         return _make_answer(task, offer, now, run)
 
     def _expire(self, now: float) -> list[Answer]:
-        late = self._queue.take(lambda task: task.give_up_at <= now)
+        late = self._queue.remove_matching(lambda task: task.give_up_at <= now)
         return [self._refuse(task, "no-place-in-time", now) for task in late]
 
     def _refuse(self, task: poolqueue.Task, reason: str, now: float) -> Answer:
         wait = self._estimate_wait()
-        spread = 1.0 + RETRY_SPREAD * self._generator.random()
-        retry_after = max(RETRY_SECONDS_MIN, wait) * spread
+        jitter = 1.0 + RETRY_JITTER * self._generator.random()
+        retry_after = max(RETRY_SECONDS_MIN, wait) * jitter
         refusal = messages.SlotRefusal(
             task.ask.request, self.name, retry_after, reason, self.measure_pressure(now)
         )
@@ -357,7 +361,7 @@
 
     def _estimate_wait(self) -> float:
         """Return the time in which what waits now will have been placed, in seconds."""
-        return self._placing.estimate_wait(self._queue.work)
+        return self._placer.estimate_wait(self._queue.work)
 
 
 def _make_answer(
--- a/celeryspan/decisions/promptcache.py
+++ b/celeryspan/decisions/promptcache.py
@@ -29,32 +29,32 @@
         self._ready_at: dict[str, float] = {}
         self._tokens = 0
 
-    def count_kept(self, parts: Sequence[messages.PromptPart]) -> int:
+    def count_cached(self, parts: Sequence[messages.PromptPart]) -> int:
         """Return the tokens of the leading parts that are kept.
 
         A part is of use only if all parts before it are kept.
         """
-        kept = 0
+        cached = 0
         for part in parts:
             if part.part not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
-    def count_ready(self, parts: Sequence[messages.PromptPart], now: float) -> int:
+    def count_copyable(self, parts: Sequence[messages.PromptPart], now: float) -> int:
         """Return the tokens of the leading parts that can be copied from here now.
 
         A part that is still to be read is kept for the prompts behind it in this
         engine's line, but nobody else can have it yet.
         """
-        ready = 0
+        copyable = 0
         for part in parts:
             if part.part not in self._parts or self._ready_at[part.part] > now:
                 break
-            ready += part.tokens
-        return ready
+            copyable += part.tokens
+        return copyable
 
-    def use(self, parts: Sequence[messages.PromptPart], ready_at: float) -> None:
+    def record_use(self, parts: Sequence[messages.PromptPart], ready_at: float) -> None:
         """Note that a prompt will have been read here at some time.
 
         The last part is touched first, so that the shared ones before it stay longest.
@@ -68,7 +68,9 @@
             del self._ready_at[name]
             self._tokens -= tokens
 
-    def add_kept(self, parts: Iterable[messages.PromptPart], now: float) -> None:
+    def add_cached_parts(
+        self, parts: Iterable[messages.PromptPart], now: float
+    ) -> None:
         """Take in what the engine itself says that it keeps.
 
         What was used here since is newer; the rest may go first, as far as it fits.
--- a/celeryspan/decisions/serverhealth.py
+++ b/celeryspan/decisions/serverhealth.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-ROW_MAX = 3
+CONSECUTIVE_FAILURES_MAX = 3
 """Failures in a row that rest a server: by chance, with one in seven failing as some
 services do, it takes 340 requests."""
 
-REST_SECONDS = 0.5
+BACKOFF_SECONDS = 0.5
 """First rest; a server that restarts is back within seconds."""
 
-REST_SECONDS_MAX = 4.0
+BACKOFF_SECONDS_MAX = 4.0
 
-MEMORY = 0.1
+FAILURE_RATE_WEIGHT = 0.1
 """Weight of the newest answer in the share of failures: about the last ten count."""
 
 
@@ -33,27 +33,29 @@
         Share of the last requests that failed.
     """
 
-    failing: float = 0.0
-    _row: int = 0
-    _rests: int = 0
-    _rests_until: float = float("-inf")
+    failure_rate: float = 0.0
+    _consecutive_failures: int = 0
+    _backoffs: int = 0
+    _backoff_until: float = float("-inf")
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Note a good answer."""
-        self.failing -= self.failing * MEMORY
-        self._row = 0
-        self._rests = 0
+        self.failure_rate -= self.failure_rate * FAILURE_RATE_WEIGHT
+        self._consecutive_failures = 0
+        self._backoffs = 0
 
-    def fail(self, now: float, *, unreachable: bool = False) -> None:
+    def record_failure(self, now: float, *, unreachable: bool = False) -> None:
         """Note a failure; one that could not even connect rests the server at once."""
-        self.failing += (1.0 - self.failing) * MEMORY
-        self._row += 1
-        if unreachable or self._row >= ROW_MAX:
-            pause = min(REST_SECONDS * 2**self._rests, REST_SECONDS_MAX)
-            self._rests_until = now + pause
-            self._rests += 1
-            self._row = ROW_MAX - 1  # The next failure alone rests it again.
-
-    def rests(self, now: float) -> bool:
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_WEIGHT
+        self._consecutive_failures += 1
+        if unreachable or self._consecutive_failures >= CONSECUTIVE_FAILURES_MAX:
+            backoff = min(BACKOFF_SECONDS * 2**self._backoffs, BACKOFF_SECONDS_MAX)
+            self._backoff_until = now + backoff
+            self._backoffs += 1
+            self._consecutive_failures = (
+                CONSECUTIVE_FAILURES_MAX - 1
+            )  # The next failure alone rests it again.
+
+    def is_backing_off(self, now: float) -> bool:
         """Whether the server gets no work now."""
-        return now < self._rests_until
+        return now < self._backoff_until
--- a/celeryspan/decisions/shards.py
+++ b/celeryspan/decisions/shards.py
@@ -46,26 +46,26 @@
 SPLIT_SERVERS_MIN = 15
 """Below this many servers one home sees them all and keeps long prompts apart best."""
 
-PRESSURE_SECONDS = 1.5
+PRESSURE_TTL_SECONDS = 1.5
 """What a home has said of its waiting time counts for nothing after this long: a router
 that sends a shard nothing hears nothing of it."""
 
-KEPT_SECONDS = 5.0
+RECENT_SHARD_SECONDS = 5.0
 """A part that this router has sent to a shard is taken to be kept there for so long.
 Half of all drafts about one subject were served in 95 of 100 cases when each of them
 was charged for reading the part in its second shard (emulated engines)."""
 
-KEPT_MAX = 4_000
+RECENT_PARTS_MAX = 4_000
 """Parts whose shards are remembered: those of five seconds at 800 requests a second."""
 
 CORES_STEP = 0.25
 
-CALM_SHARE_MIN = 0.5
+NOT_BUSY_CORES_SHARE_MIN = 0.5
 """Part of all cores that routers which are not busy must have to keep all ledgers."""
 
-NO_CORES: Mapping[ids.RouterId, float] = {}
+UNKNOWN_CORES: Mapping[ids.RouterId, float] = {}
 
-ORDER_SEEDS = (0, 1)
+SHARD_HASH_SEEDS = (0, 1)
 """A part's first and second shard; hot parts overflow to the second before others, so
 that they are read again in one more shard and not in all."""
 
@@ -90,7 +90,7 @@
     shards: Mapping[ids.ServerId, int]
 
 
-UNDIVIDED = Division(1, {})
+SINGLE_SHARD = Division(1, {})
 """A service of which no server is known."""
 
 
@@ -123,11 +123,11 @@
     if bit >= count:
         found.update(dict.fromkeys(servers, shard))
         return
-    room = math.ceil(len(servers) / 2)
+    capacity = math.ceil(len(servers) / 2)
     halves: tuple[list[ids.ServerId], list[ids.ServerId]] = ([], [])
     for server in servers:
         half = 1 if _hash(server) & bit else 0
-        if len(halves[half]) >= room:
+        if len(halves[half]) >= capacity:
             half = 1 - half
         halves[half].append(server)
     _halve(halves[0], count, bit * 2, shard, found)
@@ -149,7 +149,7 @@
     service: ids.ServiceId,
     count: int,
     routers: Collection[ids.RouterId],
-    cores: Mapping[ids.RouterId, float] = NO_CORES,
+    cores: Mapping[ids.RouterId, float] = UNKNOWN_CORES,
 ) -> tuple[ids.RouterId, ...]:
     """Return the home of each shard, on the VMs that are least used up by it.
 
@@ -188,7 +188,7 @@
     that the others would be used up as well.
     """
     calm = [member for member in running if not member.is_busy]
-    enough = sum(member.cores for member in running) * CALM_SHARE_MIN
+    enough = sum(member.cores for member in running) * NOT_BUSY_CORES_SHARE_MIN
     if sum(member.cores for member in calm) < enough:
         calm = list(running)
     return {member.router: member.cores for member in calm}
@@ -199,10 +199,12 @@
     return max(CORES_STEP, round(cores / CORES_STEP) * CORES_STEP)
 
 
-def rank(key: str, count: int) -> tuple[int, ...]:
+def rank_shards(key: str, count: int) -> tuple[int, ...]:
     """Return the shards that a prompt's shared parts belong to, the first one first."""
     mask = count - 1
-    return tuple(dict.fromkeys(_hash(f"{seed} {key}") & mask for seed in ORDER_SEEDS))
+    return tuple(
+        dict.fromkeys(_hash(f"{seed} {key}") & mask for seed in SHARD_HASH_SEEDS)
+    )
 
 
 def find_affinity(ask: messages.SlotRequest) -> tuple[str, float]:
@@ -216,7 +218,7 @@
     shared = ask.parts[:-1] or ask.parts
     tokens = sum(part.tokens for part in ask.parts[:-1])
     read = engines.EngineModel().read_seconds(tokens, 0)
-    return shared[-1].part, placing.READ_WEIGHT * read
+    return shared[-1].part, placing.PREFILL_WEIGHT * read
 
 
 def _hash(name: str) -> int:
@@ -233,29 +235,29 @@
     """
 
     seconds: float
-    heard_at: float
+    received_at: float
 
 
 class Pressures:
     """How long requests wait in each shard, as one router has heard lately."""
 
     def __init__(self) -> None:
-        self._heard: dict[ids.PoolId, Pressure] = {}
-        self._kept: collections.OrderedDict[str, dict[int, float]] = (
+        self._reports: dict[ids.PoolId, Pressure] = {}
+        self._recent_shards: collections.OrderedDict[str, dict[int, float]] = (
             collections.OrderedDict()
         )
 
-    def note(self, pool: ids.PoolId, seconds: float, now: float) -> None:
+    def record(self, pool: ids.PoolId, seconds: float, now: float) -> None:
         """Take in what a home says."""
-        self._heard[pool] = Pressure(seconds, now)
+        self._reports[pool] = Pressure(seconds, now)
 
-    def read(self, pool: ids.PoolId, now: float) -> float:
+    def estimate(self, pool: ids.PoolId, now: float) -> float:
         """Return how long requests wait in a shard; less as the word grows old."""
-        found = self._heard.get(pool)
+        found = self._reports.get(pool)
         if found is None:
             return 0.0
-        age = now - found.heard_at
-        return found.seconds * max(0.0, 1.0 - age / PRESSURE_SECONDS)
+        age = now - found.received_at
+        return found.seconds * max(0.0, 1.0 - age / PRESSURE_TTL_SECONDS)
 
     def choose(
         self,
@@ -276,29 +278,30 @@
         """
         if count == 1:
             return 0
-        kept = self._find_kept(key, now)
-        first, *others = rank(key, count)
+        recent = self._find_recent_shards(key, now)
+        first, *others = rank_shards(key, count)
         waits = [
-            self.read(name_pool(service, count, shard), now) for shard in range(count)
+            self.estimate(name_pool(service, count, shard), now)
+            for shard in range(count)
         ]
         least = min(range(count), key=waits.__getitem__)
         best, cost = first, waits[first]
-        for shard in (*others, *kept, least):
+        for shard in (*others, *recent, least):
             if shard >= count:
                 continue  # Remembered from when there were more shards.
-            charge = 0.0 if shard in kept else penalty
+            charge = 0.0 if shard in recent else penalty
             if waits[shard] + charge < cost:
                 best, cost = shard, waits[shard] + charge
-        self._note_kept(key, best, now)
+        self._record_shard(key, best, now)
         return best
 
-    def _find_kept(self, key: str, now: float) -> list[int]:
+    def _find_recent_shards(self, key: str, now: float) -> list[int]:
         """Return the shards to which this router has sent a part lately."""
-        used = self._kept.get(key, {})
-        return [shard for shard, at in used.items() if now - at < KEPT_SECONDS]
-
-    def _note_kept(self, key: str, shard: int, now: float) -> None:
-        self._kept.setdefault(key, {})[shard] = now
-        self._kept.move_to_end(key)
-        if len(self._kept) > KEPT_MAX:
-            self._kept.popitem(last=False)
+        used = self._recent_shards.get(key, {})
+        return [shard for shard, at in used.items() if now - at < RECENT_SHARD_SECONDS]
+
+    def _record_shard(self, key: str, shard: int, now: float) -> None:
+        self._recent_shards.setdefault(key, {})[shard] = now
+        self._recent_shards.move_to_end(key)
+        if len(self._recent_shards) > RECENT_PARTS_MAX:
+            self._recent_shards.popitem(last=False)
--- a/celeryspan/gateway/poolhomes.py
+++ b/celeryspan/gateway/poolhomes.py
@@ -133,7 +133,7 @@
     ) -> None:
         with self._lock:
             self._note_incarnation(router, incarnation)
-            self._find_pool(run.pool).hold(router, run, time.monotonic())
+            self._find_pool(run.pool).restore_run(router, run, time.monotonic())
 
     def _take_moved(
         self, _: ids.RouterId, __: ids.Incarnation, moved: messages.RunMoved
@@ -192,7 +192,7 @@
         service = current.services.get(service_id) if current else None
         mine = self._map.list_servers(pool.name, self._servers.usable())
         pool.set_servers(mine, service.engine if service else None)
-        for entry in pool.list_unasked():
+        for entry in pool.pop_unqueried():
             self._kept.ask(entry, functools.partial(self._take_kept, pool.name))
 
     def _take_kept(
@@ -204,7 +204,7 @@
         with self._lock:
             pool = self._pools.get(name)
             if pool is not None:
-                pool.add_kept(asked, parts, time.monotonic())
+                pool.add_cached_parts(asked, parts, time.monotonic())
 
     def _drop_unused(self, now: float) -> None:
         """Forget pools that nobody asks of any more; the caller holds the lock."""
@@ -271,7 +271,7 @@
                 service, count, shard = shards.parse_pool(name)
                 for dimension in range(count.bit_length() - 1):
                     partner = shards.name_pool(service, count, shard ^ (1 << dimension))
-                    units = pool.add_up_shares(dimension, now)
+                    units = pool.sum_shares(dimension, now)
                     told.append(messages.PoolShares(partner, dimension, units))
         for message in told:
             self._delivery.send(self._map.find_home(message.pool), message)
@@ -345,9 +345,9 @@
         events.Event.GRANT_ISSUED,
         **common,
         server=message.server,
-        kept=run.kept,
-        pending=round(run.pending, 3),
-        read=round(run.read, 3),
-        speed=round(run.speed, 2),
+        kept=run.cached_tokens,
+        pending=round(run.pending_seconds, 3),
+        read=round(run.prefill_seconds, 3),
+        speed=round(run.slowdown, 2),
         is_long=run.is_long,
     )
--- a/celeryspan/gateway/poolmap.py
+++ b/celeryspan/gateway/poolmap.py
@@ -94,7 +94,9 @@
         if count == 1 or count != self._find_division(service).count:
             return None
         found = self.choose_pool(service, ask, now)
-        gain = self._pressures.read(pool, now) - self._pressures.read(found, now)
+        gain = self._pressures.estimate(pool, now) - self._pressures.estimate(
+            found, now
+        )
         return found if gain > MOVE_GAIN_SECONDS and found != pool else None
 
     def is_current(self, pool: ids.PoolId) -> bool:
@@ -113,7 +115,7 @@
 
     def note_pressure(self, pool: ids.PoolId, seconds: float, now: float) -> None:
         """Take in how long requests wait in a pool."""
-        self._pressures.note(pool, seconds, now)
+        self._pressures.record(pool, seconds, now)
 
     def pass_over(self, router: ids.RouterId, now: float) -> None:
         """Ask others in place of a home that is silent, for a while."""
@@ -147,7 +149,7 @@
         return found
 
     def _find_division(self, service: ids.ServiceId) -> shards.Division:
-        return self._divisions.get(service, shards.UNDIVIDED)
+        return self._divisions.get(service, shards.SINGLE_SHARD)
 
     def _set_members(self, members: list[messages.Member]) -> None:
         """Take those that may be homes."""
--- a/tests/decisions/test_accountshares.py
+++ b/tests/decisions/test_accountshares.py
@@ -12,9 +12,9 @@
 def test_units_add_up_and_fade() -> None:
     shares = accountshares.AccountShares()
     shares.charge("a", 100.0, 10.0)
-    shares.charge("b", 100.0, 10.0 + accountshares.FADE_SECONDS)
+    shares.charge("b", 100.0, 10.0 + accountshares.DECAY_SECONDS)
     assert shares.level("b") > 2.5 * shares.level("a")
-    shares.charge("a", 100.0, 10.0 + accountshares.FADE_SECONDS)
+    shares.charge("a", 100.0, 10.0 + accountshares.DECAY_SECONDS)
     assert shares.level("a") > shares.level("b")
 
 
@@ -24,14 +24,14 @@
         shares.charge("a", 20.0, float(second))
         shares.charge("b", 10.0, float(second))
     assert shares.level("a") == pytest.approx(2 * shares.level("b"))
-    assert shares.add_up(0, 99.0)["b"] == pytest.approx(35.3, abs=0.1)
+    assert shares.sum_units(0, 99.0)["b"] == pytest.approx(35.3, abs=0.1)
 
 
 def test_forgotten_accounts_take_no_room() -> None:
     shares = accountshares.AccountShares()
     for number in range(1000):
         shares.charge(f"a{number}", 10.0, float(number))
-    assert len(shares.add_up(0, 1000.0)) < 30
+    assert len(shares.sum_units(0, 1000.0)) < 30
     assert len(shares._own) < 100
 
 
@@ -47,15 +47,15 @@
         pairs = [(d, n) for d in range(dimensions) for n in range(count)]
         generator.shuffle(pairs)
         for dimension, number in pairs:
-            units = shards[number].add_up(dimension, 1.0)
-            shards[number ^ (1 << dimension)].hear(dimension, units, 1.0)
+            units = shards[number].sum_units(dimension, 1.0)
+            shards[number ^ (1 << dimension)].receive(dimension, units, 1.0)
     total = sum(10.0 + number for number in range(count))
-    levels = [shard.level("a") / shard._weigh(1.0) for shard in shards]
+    levels = [shard.level("a") / shard._current_weight(1.0) for shard in shards]
     assert levels == pytest.approx([total] * count)
 
 
 def test_what_a_dead_home_said_fades() -> None:
     shares = accountshares.AccountShares()
-    shares.hear(0, {"a": 1000.0}, 0.0)
+    shares.receive(0, {"a": 1000.0}, 0.0)
     shares.charge("b", 10.0, 20.0)
     assert shares.level("a") < shares.level("b")
--- a/tests/decisions/test_engines.py
+++ b/tests/decisions/test_engines.py
@@ -33,19 +33,19 @@
 
 def test_part_is_of_use_only_behind_kept_parts() -> None:
     cache = promptcache.PromptCache(1000)
-    cache.use(make_parts(("a", 100), ("b", 200)), 0.0)
-    assert cache.count_kept(make_parts(("a", 100), ("b", 200), ("c", 50))) == 300
-    assert cache.count_kept(make_parts(("x", 10), ("b", 200))) == 0
+    cache.record_use(make_parts(("a", 100), ("b", 200)), 0.0)
+    assert cache.count_cached(make_parts(("a", 100), ("b", 200), ("c", 50))) == 300
+    assert cache.count_cached(make_parts(("x", 10), ("b", 200))) == 0
 
 
 def test_least_recently_used_parts_yield_and_shared_ones_stay_longest() -> None:
     cache = promptcache.PromptCache(1000)
     for number in range(20):
-        cache.use(make_parts(("shared", 300), (f"own-{number}", 200)), 0.0)
-    assert cache.count_kept(make_parts(("shared", 300))) == 300
-    assert cache.count_kept(make_parts(("shared", 300), ("own-0", 200))) == 300
+        cache.record_use(make_parts(("shared", 300), (f"own-{number}", 200)), 0.0)
+    assert cache.count_cached(make_parts(("shared", 300))) == 300
+    assert cache.count_cached(make_parts(("shared", 300), ("own-0", 200))) == 300
     cache.clear()
-    assert cache.count_kept(make_parts(("shared", 300))) == 0
+    assert cache.count_cached(make_parts(("shared", 300))) == 0
 
 
 def test_shares_fade_and_nothing_is_saved_up() -> None:
@@ -59,22 +59,22 @@
 
 def test_server_that_accepts_no_connection_rests_for_longer_each_time() -> None:
     health = serverhealth.ServerHealth()
-    health.fail(0.0, unreachable=True)
-    assert health.rests(0.4) and not health.rests(0.6)
-    health.fail(1.0, unreachable=True)
-    assert health.rests(1.9) and not health.rests(2.1)
-    health.succeed()
-    health.fail(3.0, unreachable=True)
-    assert not health.rests(3.6)
+    health.record_failure(0.0, unreachable=True)
+    assert health.is_backing_off(0.4) and not health.is_backing_off(0.6)
+    health.record_failure(1.0, unreachable=True)
+    assert health.is_backing_off(1.9) and not health.is_backing_off(2.1)
+    health.record_success()
+    health.record_failure(3.0, unreachable=True)
+    assert not health.is_backing_off(3.6)
 
 
 def test_server_that_fails_now_and_then_is_dearer_and_does_not_rest() -> None:
     health = serverhealth.ServerHealth()
     for _ in range(20):
-        health.succeed()
-        health.fail(0.0)
-    assert 0.3 < health.failing < 0.7
-    assert not health.rests(0.0)
+        health.record_success()
+        health.record_failure(0.0)
+    assert 0.3 < health.failure_rate < 0.7
+    assert not health.is_backing_off(0.0)
 
 
 def test_parts_that_are_still_to_be_read_can_not_be_copied() -> None:
@@ -85,7 +85,11 @@
     """
     cache = promptcache.PromptCache(10_000)
     parts = make_parts(("a", 100), ("b", 200))
-    cache.use(parts[:1], 1.0)
-    cache.use(parts, 2.0)
-    assert cache.count_kept(parts) == 300
-    assert [cache.count_ready(parts, now) for now in (0.5, 1.5, 2.5)] == [0, 100, 300]
+    cache.record_use(parts[:1], 1.0)
+    cache.record_use(parts, 2.0)
+    assert cache.count_cached(parts) == 300
+    assert [cache.count_copyable(parts, now) for now in (0.5, 1.5, 2.5)] == [
+        0,
+        100,
+        300,
+    ]
--- a/tests/decisions/test_isolation.py
+++ b/tests/decisions/test_isolation.py
@@ -115,6 +115,6 @@
         left=5.0,
         isolation=7,
     )
-    pool.hold(ROUTER, held, 0.0)
+    pool.restore_run(ROUTER, held, 0.0)
     assert place(pool, 0.1, make_ask("copy", 7)) == {}
     assert place(pool, 0.2, make_ask("another", 8)) == {"another": "gpu-1"}
--- a/tests/decisions/test_placing.py
+++ b/tests/decisions/test_placing.py
@@ -50,9 +50,9 @@
     )
 
 
-def take(pool: placing.Placing, request: str, now: float) -> poolservers.Run:
+def take(pool: placing.Placer, request: str, now: float) -> poolservers.Run:
     """Place a request at the one engine there is."""
-    return pool.take(make_ask(request), ROUTER, SERVER, now + 10.0, now)
+    return pool.start_run(make_ask(request), ROUTER, SERVER, now + 10.0, now)
 
 
 def test_engine_that_started_again_keeps_nothing_and_runs_nothing() -> None:
@@ -61,14 +61,14 @@
     Its runs are gone and its memory is empty. With the old belief its places stay
     taken until timeouts, and prompts go there as if their shared parts were kept.
     """
-    pool = placing.Placing()
+    pool = placing.Placer()
     pool.set_servers([make_entry(1_000)], ENGINE)
-    assert take(pool, "r1", 1.0).kept == 0
-    assert take(pool, "r2", 2.0).kept == 5_000
-    assert not pool.is_ready(False, 2.0)
+    assert take(pool, "r1", 1.0).cached_tokens == 0
+    assert take(pool, "r2", 2.0).cached_tokens == 5_000
+    assert not pool.has_capacity(False, 2.0)
     pool.set_servers([make_entry(2_000)], ENGINE)
     assert pool.count_runs() == 0
-    assert take(pool, "r3", 3.0).kept == 0
+    assert take(pool, "r3", 3.0).cached_tokens == 0
 
 
 def test_late_end_of_a_run_of_the_earlier_incarnation_changes_nothing() -> None:
@@ -77,7 +77,7 @@
     Counted for the new incarnation, it would free a place that is taken, or rest an
     engine that has failed nobody.
     """
-    pool = placing.Placing()
+    pool = placing.Placer()
     pool.set_servers([make_entry(1_000)], ENGINE)
     take(pool, "r1", 1.0)
     pool.set_servers([make_entry(2_000)], ENGINE)
@@ -86,35 +86,35 @@
     for ending in states.RunEnding:
         pool.end(ids.RequestId("r1"), SERVER, ending, 2.5)
     assert pool.count_runs() == 1
-    assert pool.is_ready(False, 2.6)
+    assert pool.has_capacity(False, 2.6)
 
 
 def test_entry_that_changes_without_a_restart_keeps_what_is_known() -> None:
-    pool = placing.Placing()
+    pool = placing.Placer()
     pool.set_servers([make_entry(1_000)], ENGINE)
     take(pool, "r1", 1.0)
     again = msgspec.structs.replace(make_entry(1_000), revision=9)
     pool.set_servers([again], ENGINE)
     assert pool.count_runs() == 1
     pool.set_servers([make_entry(None)], ENGINE)
-    assert take(pool, "r2", 2.0).kept == 5_000
+    assert take(pool, "r2", 2.0).cached_tokens == 5_000
 
 
 def test_engine_is_asked_once_for_what_it_keeps_and_its_answer_counts() -> None:
     """A home takes a pool over; without the answer all shared parts are read again."""
-    pool = placing.Placing()
+    pool = placing.Placer()
     pool.set_servers([make_entry(1_000)], ENGINE)
-    (asked,) = pool.list_unasked()
-    assert pool.list_unasked() == []
-    pool.add_kept(asked, [messages.PromptPart("shared", 5_000)], 1.0)
-    assert take(pool, "r1", 2.0).kept == 5_000
+    (asked,) = pool.pop_unqueried()
+    assert pool.pop_unqueried() == []
+    pool.add_cached_parts(asked, [messages.PromptPart("shared", 5_000)], 1.0)
+    assert take(pool, "r1", 2.0).cached_tokens == 5_000
 
 
 def test_answer_of_an_earlier_incarnation_counts_for_nothing() -> None:
-    pool = placing.Placing()
+    pool = placing.Placer()
     pool.set_servers([make_entry(1_000)], ENGINE)
-    (asked,) = pool.list_unasked()
+    (asked,) = pool.pop_unqueried()
     pool.set_servers([make_entry(2_000)], ENGINE)
-    pool.add_kept(asked, [messages.PromptPart("shared", 5_000)], 1.0)
-    assert take(pool, "r1", 2.0).kept == 0
-    assert [entry.started_ms for entry in pool.list_unasked()] == [2_000]
+    pool.add_cached_parts(asked, [messages.PromptPart("shared", 5_000)], 1.0)
+    assert take(pool, "r1", 2.0).cached_tokens == 0
+    assert [entry.started_ms for entry in pool.pop_unqueried()] == [2_000]
--- a/tests/decisions/test_pools.py
+++ b/tests/decisions/test_pools.py
@@ -173,7 +173,7 @@
     monkeypatch.setattr(pools.Pool, "tick", watch)
     found = play(asked, seconds=6.0, place=place)
     bounded, most = most, 0
-    monkeypatch.setattr(pools.Pool, "_is_full", lambda *_: False)
+    monkeypatch.setattr(pools.Pool, "_exceeds_queue_limit", lambda *_: False)
     unbounded = play(asked, seconds=6.0, place=place)
     assert bounded <= 0.5 * most
     for account, least in (("calm", 0.97), ("flood", 0.85)):
@@ -284,8 +284,8 @@
     """Guards against engines that are each sent twice what they can read in time."""
     parts = [make_sheets(24.0), make_notes(40.0)]
     sheets, notes = measure_means(parts, SLOW_READERS, "sheets", "notes")
-    monkeypatch.setattr(placing.Placing, "_spread_speed", lambda self: None)
-    monkeypatch.setattr(poolservers, "SPEED_FIRST_READINGS", 1e9)
+    monkeypatch.setattr(placing.Placer, "_share_slowdown", lambda self: None)
+    monkeypatch.setattr(poolservers, "SLOWDOWN_PRIOR_SAMPLES", 1e9)
     before = measure_means(parts, SLOW_READERS, "sheets", "notes")
     assert sheets > before[0] + NOISE
     assert notes > before[1] - NOISE
@@ -301,7 +301,7 @@
     """
     parts = [make_sheets(24.0), make_notes(40.0)]
     found = play(parts, place=SLOW_READERS)
-    monkeypatch.setattr(placing, "FETCH_WEIGHT", 3.0)
+    monkeypatch.setattr(placing, "COPY_WEIGHT", 3.0)
     before = play(parts, place=SLOW_READERS)
     assert found.fetched_tokens < 0.85 * before.fetched_tokens
     assert found.share_in_time("sheets") > before.share_in_time("sheets") + 0.03
--- a/tests/decisions/test_shards.py
+++ b/tests/decisions/test_shards.py
@@ -84,7 +84,7 @@
     homes = shards.find_homes("planner", 8, ROUTERS)
     assert shards.find_homes("planner", 4, ROUTERS) == homes[:4]
     for key in ("a", "b", "c"):
-        assert shards.rank(key, 4)[0] == shards.rank(key, 8)[0] % 4
+        assert shards.rank_shards(key, 4)[0] == shards.rank_shards(key, 8)[0] % 4
 
 
 def test_homes_are_different_routers_while_there_are_enough() -> None:
@@ -147,11 +147,11 @@
 
 def test_request_leaves_its_shard_only_for_more_than_it_costs() -> None:
     found = shards.Pressures()
-    first = shards.rank("part", 8)[0]
+    first = shards.rank_shards("part", 8)[0]
     for shard in range(8):
-        found.note(shards.name_pool("planner", 8, shard), 0.1, 10.0)
+        found.record(shards.name_pool("planner", 8, shard), 0.1, 10.0)
     assert found.choose("planner", 8, "part", 0.4, 10.0) == first
-    found.note(shards.name_pool("planner", 8, first), 0.55, 10.0)
+    found.record(shards.name_pool("planner", 8, first), 0.55, 10.0)
     assert found.choose("planner", 8, "part", 0.9, 10.0) == first
     elsewhere = found.choose("planner", 8, "part", 0.4, 10.0)
     assert elsewhere != first
@@ -161,10 +161,10 @@
 def test_old_word_of_a_full_shard_does_not_keep_requests_away() -> None:
     """A shard was full and has nothing to do now, since nobody asks it any more."""
     found = shards.Pressures()
-    first = shards.rank("part", 8)[0]
-    found.note(shards.name_pool("planner", 8, first), 5.0, 10.0)
+    first = shards.rank_shards("part", 8)[0]
+    found.record(shards.name_pool("planner", 8, first), 5.0, 10.0)
     assert found.choose("planner", 8, "part", 0.1, 10.0) != first
-    later = 10.0 + shards.PRESSURE_SECONDS
+    later = 10.0 + shards.PRESSURE_TTL_SECONDS
     assert found.choose("planner", 8, "part", 0.1, later) == first
 
 
