--- a/celeryspan/decisions/placing.py
+++ b/celeryspan/decisions/placing.py
@@ -1,24 +1,26 @@
-"""Which backend server of a pool takes a request, if any can take it now.
-
-Load answered: prompts that share parts, of very different lengths, beside streams that
-must not pause; servers that are slow, dark or failing.
-
-* A request goes where its prompt is kept and where little waits to be read. Reading
-  anew is weighed ten times against waiting, since it makes all others wait as well.
-* No more than a tenth of a second of reading is pending at one engine: more would make
-  first events late, and what is not sent yet can still go elsewhere.
-* An engine that has read for as long as a stream beside it may pause reads all it has
-  before it gets more, so that a step without reading comes between.
-* A request waits a little for the server that keeps its prompt while others are free:
-  reading again costs more, and all who wait there.
-* Where engines can copy from each other, a request whose shared parts another engine
-  keeps brings them along (:class:`Keeper`): 4,870 tokens take 6 ms instead of 45.
-* A prompt whose reading alone makes the streams beside it pause past their limit goes
-  to engines set apart, one at a time (:mod:`longprompts`).
-* Plain services take the server with the shortest expected time.
-
-Sent to any server, 56 in 100 long streams had a pause that was too long; by these rules
-8 in 100 (emulated engines at the usual load, ``docs/design/placing.md``).
+"""Selects the backend server of a pool that takes a request.
+
+Prompts share parts and differ widely in length, streams beside them must not pause, and
+servers may be slow, unreachable or failing.
+
+* A request goes to the server that has its prompt cached and the least pending prefill.
+  Prefilling parts again weighs ten times as much as waiting, because it delays every
+  other request as well.
+* At most a tenth of a second of prefill is pending at an engine. More would delay first
+  events, and a request that hasn't been sent can still go to another engine.
+* An engine that has prefilled for as long as a stream beside it may pause completes all
+  pending prefill before it gets more, so that a step without prefill comes between.
+* A request waits briefly for the server that has its prompt cached while others are
+  free: prefilling again costs more and delays everything waiting there.
+* Where engines can copy from each other, cached parts are copied from the engine that
+  has most of the prompt (:class:`CacheSource`): 4,870 tokens take 6 ms instead of 45.
+* A prompt whose prefill alone makes the streams beside it pause past their limit goes
+  to a dedicated engine, one at a time (:mod:`longprompts`).
+* Requests to plain services go to the server with the shortest expected time.
+
+With requests sent to any server, 56 in 100 long streams had a pause that was too long;
+with these rules, 8 in 100 (emulated engines at the usual load,
+``docs/design/placing.md``).
 """
 
 from __future__ import annotations
@@ -36,62 +38,62 @@
 from celeryspan.wire import messages
 
 PREFILL_WEIGHT = 10.0
-"""Weight of reading against waiting for what is read already."""
+"""Weight of a second of prefill relative to a second of waiting."""
 
 AFFINITY_WAIT_SHARE = 0.25
-"""Part of the latency objective that a request waits for the server that keeps most of
-its prompt, while others are free: a few ten milliseconds against reading 5,000 tokens
-again, which takes as long and keeps all others at that server waiting as well."""
+"""Share of the latency objective that a request waits for the server that caches most
+of its prompt while others are free. The wait is a few tens of milliseconds; prefilling
+5,000 tokens again takes as long and delays every other request at that server."""
 
 REGRET_SECONDS_MIN = 0.02
-"""Cost in seconds by which another server must be better to be waited for: that of
-reading some 200 tokens or copying 8,000."""
+"""Cost difference in seconds above which a request waits for a better server: the cost
+of prefilling about 200 tokens or copying 8,000."""
 
 RUN_COST_SECONDS = 0.002
-"""What a run in progress counts for when servers are compared: spreads requests that
-read nothing."""
+"""Cost of each run in progress; spreads requests that need no prefill."""
 
 GAP_MARGIN_SECONDS = 0.02
-"""Part of the longest pause that is left for the way of an event to its caller."""
+"""Part of the longest allowed pause reserved for delivering an event to the caller."""
 
 REMOTE_COST_SECONDS = 0.002
-"""What another data centre counts for, there and back."""
+"""Cost of a server in another data centre: one round trip."""
 
 COPY_TOKENS_MIN = 256
-"""Shorter parts are read in 2 ms, as long as it takes to set up a copy."""
+"""Shorter parts are prefilled in 2 ms, as long as it takes to set up a copy."""
 
 COPY_SETUP_SECONDS = 0.002
 
 COPY_WEIGHT = 10.0
-"""Weight of copying kept parts from another engine against waiting: it takes a tenth of
-the time of reading and stops nobody, but uses links that moves need, and memory that
-pushes out what other prompts share. At 3 half of all prompts on a full day were sent
-beside their keeper: 134 GB copied in 50 s; at 10 a quarter less."""
+"""Weight of a second of copying cached parts relative to a second of waiting. A copy
+takes a tenth of the prefill time and delays no stream, but it uses links that
+migrations need and evicts parts that other prompts share. With a weight of 3, half of
+all prompts on a full day were sent away from the server that caches them, and 134 GB
+were copied in 50 s; with 10, a quarter less."""
 
 FAILURE_COST_SECONDS = 2.0
-"""What a server that fails all requests counts for beyond its peers."""
+"""Cost of a server that fails all requests, relative to its peers."""
 
 EXPIRY_INTERVAL_SECONDS = 0.25
-"""How often runs are looked through for such as should have ended."""
+"""Interval between checks for runs that should have ended."""
 
 EXPIRY_GRACE_SECONDS = 1.0
-"""A run is forgotten this long after its timeout: its router ends it then, and if the
-message was lost the place would stay taken for good."""
+"""Time after its timeout at which a run is dropped. Its router ends it at the timeout;
+if that message is lost, the slot would otherwise never be freed."""
 
 RUN_TIME_WEIGHT = 0.01
-"""Weight of the newest run in the mean time that runs hold a place: the last hundred
-runs are those of less than a second at a few engines."""
+"""Weight of the newest run in the mean run time, which thus covers about a hundred
+runs: those of less than a second at a few engines."""
 
 
 class Candidate(NamedTuple):
-    """A server that a request could go to; lower costs are better.
+    """A server that could take a request; lower costs are better.
 
     Attributes
     ----------
     cost : float
-        Seconds of waiting, weighed.
+        Weighted waiting time, in seconds.
     is_ready : bool
-        Whether the server takes the request now.
+        Whether the server can take the request now.
     """
 
     cost: float
@@ -100,7 +102,7 @@
 
 
 class CacheSource(NamedTuple):
-    """The engine that keeps most of a prompt, and how many tokens of it."""
+    """The engine that caches the longest prefix of a prompt, and the length of that."""
 
     cached_tokens: int
     server: ids.ServerId
@@ -117,7 +119,8 @@
     Attributes
     ----------
     regret : float
-        How much better another server would be that can't take it yet, in seconds.
+        How much lower the cost of the best server is, if that one can't take the
+        request yet, in seconds.
     """
 
     server: ids.ServerId
@@ -125,7 +128,7 @@
 
 
 class Placer:
-    """The servers of one pool and what runs there."""
+    """Assigns requests to the servers of one pool and tracks their runs."""
 
     def __init__(self) -> None:
         self._model = engines.EngineModel()
@@ -143,15 +146,15 @@
     def set_servers(
         self, entries: Sequence[catalog.ServerEntry], engine: catalog.Engine | None
     ) -> None:
-        """Set which servers may get new work; runs at the others go on."""
+        """Set the servers that may get new requests; runs at the others continue."""
         self._engine = engine
         known = {**self._removed_servers, **self._servers}
         self._servers = {}
         for entry in entries:
             server = known.pop(entry.server, None)
             if server is None or entry.succeeds(server.entry):
-                # A server that has started again keeps no prompt and runs nothing; its
-                # earlier incarnation's places and speed would mislead for seconds.
+                # A restarted server has an empty cache and no runs. The slots and the
+                # slowdown of its earlier incarnation would be wrong for seconds.
                 server = _make_server(entry, engine)
                 server.slowdown = self._median_slowdown
             server.entry = entry
@@ -166,16 +169,17 @@
         }
 
     def exceeds_memory(self, ask: messages.SlotRequest) -> bool:
-        """Whether no server could ever run the request."""
+        """Whether the request is too large for every server."""
         engine = self._engine
         tokens = ask.prompt_tokens + ask.output_tokens
         return engine is not None and tokens > engine.memory_tokens
 
     def pop_unqueried(self) -> list[catalog.ServerEntry]:
-        """Return the engines that are to be asked what they keep; each comes once.
+        """Return the engines to query for their cached parts, each of them once.
 
-        A home that has just taken a pool over, or has just started, would read all
-        shared parts again, and take prompts of which most is kept for long ones.
+        Without the query, a home that has just started or taken over a pool would have
+        all shared parts prefilled again, and would classify prompts that are mostly
+        cached as long.
         """
         if self._engine is None:
             return []
@@ -192,19 +196,20 @@
         parts: Iterable[messages.PromptPart],
         now: float,
     ) -> None:
-        """Take in what an engine says that it keeps.
+        """Add the parts that an engine reports as cached.
 
         Parameters
         ----------
         asked : ServerEntry
-            As the engine was asked; what an earlier incarnation says is worth nothing.
+            The entry for which the engine was queried; the answer of an earlier
+            incarnation is ignored.
         """
         server = self._servers.get(asked.server)
         if server is not None and not server.entry.succeeds(asked):
             server.cache.add_cached_parts(parts, now)
 
     def record_arrival(self, ask: messages.SlotRequest, now: float) -> None:
-        """Count the reading of long prompts, so that engines are set apart for it."""
+        """Record the prefill of a long prompt; it determines the dedicated engines."""
         if self._engine is None:
             return
         cached = self._count_most_cached(ask)
@@ -213,21 +218,21 @@
         self._long_prompts.record_arrival(pause, _pause_limit(ask), prefill, now)
 
     def is_long(self, ask: messages.SlotRequest) -> bool:
-        """Whether a prompt is long at the server that keeps most of it."""
+        """Whether a prompt is long at the server that caches most of it."""
         if self._engine is None:
             return False
         return self._is_long(ask, self._count_most_cached(ask))
 
     def has_capacity(self, is_long: bool, now: float) -> bool:
-        """Whether any server may get more now, a long prompt or another request."""
+        """Whether any server can take a long prompt, or any other request, now."""
         for server in self._list_eligible(is_long, now):
             if not server.is_available(now):
                 continue
-            if (
-                not server.is_prefilling_long()
-                if is_long
-                else self._has_short_prefill_queue(server, now)
-            ):
+            if is_long:
+                can_take = not server.is_prefilling_long()
+            else:
+                can_take = self._has_short_prefill_queue(server, now)
+            if can_take:
                 return True
         return False
 
@@ -239,10 +244,11 @@
     def _list_eligible(
         self, is_long: bool, now: float
     ) -> Sequence[poolservers.PoolServer]:
-        """Return the servers for long prompts, or for other requests.
+        """Return the servers for long prompts, or those for other requests.
 
-        The same engines are set apart for long ones while their number lasts. Others go
-        there only when all the rest is full, so that no place idles while they wait.
+        The same engines are dedicated to long prompts for as long as their number
+        doesn't change. Other requests use them only when all the rest are full, so that
+        no slot stays idle while requests wait.
         """
         count = self.count_dedicated()
         if not count:
@@ -262,11 +268,11 @@
         Parameters
         ----------
         waited : float
-            Time that the request has waited here, in seconds.
+            Time that the request has waited in this pool, in seconds.
         """
         excluded: Collection[ids.ServerId] = ask.excluded
         if len(excluded) >= len(self._servers):
-            excluded = ()  # One that has failed the request may still be all there is.
+            excluded = ()  # Retry servers that failed the request if no other is left.
         if ask.isolation:
             if not self.can_isolate(ask):
                 return None
@@ -276,22 +282,24 @@
         return self._choose_engine(ask, excluded, waited, now)
 
     def can_isolate(self, ask: messages.SlotRequest) -> bool:
-        """Whether a request that must run apart could get a place now.
+        """Whether a request that must run isolated could get a slot now.
 
-        It runs once at a time, and beside no other such request: if its server
-        crashes, no other one can be the cause.
+        Only one copy of it runs at a time, and never beside another isolated request,
+        so that a crash of its server has a single possible cause.
         """
         running = self._find_isolated_runs()
         is_alone = all(ask.isolation not in found for found in running.values())
         return is_alone and not self._servers.keys() <= running.keys()
 
     def _find_isolated_runs(self) -> dict[ids.ServerId, set[int]]:
-        """Return the servers at which requests run apart, and which ones."""
+        """Return the servers with isolated runs and the fingerprints of these runs."""
         found: dict[ids.ServerId, set[int]] = {}
         for server in [*self._servers.values(), *self._removed_servers.values()]:
-            dedicated = {run.isolation for run in server.runs.values() if run.isolation}
-            if dedicated:
-                found[server.entry.server] = dedicated
+            fingerprints = {
+                run.isolation for run in server.runs.values() if run.isolation
+            }
+            if fingerprints:
+                found[server.entry.server] = fingerprints
         return found
 
     def start_run(
@@ -302,9 +310,9 @@
         end_at: float,
         now: float,
     ) -> poolservers.Run:
-        """Take a place for a request."""
+        """Reserve a slot for a request and record its run."""
         server = self._servers[name]
-        cached, copy, source = self._plan_copy(
+        cached, copy_seconds, source = self._plan_copy(
             ask, server, self._find_cache_source(ask, now)
         )
         prefill = 0.0
@@ -312,7 +320,7 @@
             prefill = self._make_prompt(ask).read(
                 cached, len(server.runs), server.slowdown
             )
-            prefill += copy
+            prefill += copy_seconds
         pending = server.pending_seconds(now)
         prefill_done_at = max(now, server.prefill_done_at) + prefill
         due_at = prefill_done_at + self._model.first_seconds
@@ -343,7 +351,7 @@
     def restore_run(
         self, router: ids.RouterId, run: messages.RunHeld, now: float
     ) -> None:
-        """Take in a run that another home has placed."""
+        """Record a run that another home has placed."""
         server = self._find(run.server)
         if server is None:
             return
@@ -364,7 +372,7 @@
         server.add(run.request, held, now)
 
     def begin(self, request: ids.RequestId, name: ids.ServerId, now: float) -> None:
-        """Note the first event of a run."""
+        """Record the first event of a run."""
         server = self._find(name)
         if server is None:
             return
@@ -374,10 +382,10 @@
             self._share_slowdown()
 
     def _share_slowdown(self) -> None:
-        """Let servers that have read nothing yet be taken for as fast as the others.
+        """Set servers without samples to the median slowdown of the others.
 
-        The model's times are those of one kind of engine. On another kind each server
-        would first be sent twice what it can read in time, and again after a restart.
+        The model describes one kind of engine. On a slower kind, each server would
+        first be sent twice what it can prefill in time, and again after every restart.
         """
         known = [
             each.slowdown for each in self._ordered_servers if each.slowdown_samples
@@ -390,7 +398,7 @@
     def migrate(
         self, request: ids.RequestId, name: ids.ServerId, now: float
     ) -> ids.ServerId | None:
-        """Return where a run that has begun is to go on, and hold a place there."""
+        """Return the server that a started run moves to, and reserve a slot there."""
         source = self._servers.get(name)
         run = source.runs.get(request) if source else None
         if run is None or self._engine is None or not run.is_long or run.isolation:
@@ -417,7 +425,7 @@
         *,
         is_moved: bool,
     ) -> None:
-        """Give back the place that a moved run has left, or was not taken."""
+        """Free the slot that a run has left, or the one that it didn't move to."""
         left = self._find(name if is_moved else target)
         if left is not None:
             left.remove(request, now)
@@ -430,12 +438,12 @@
         now: float,
         pause: float = 0.0,
     ) -> None:
-        """Give a place back and learn from how the run ended.
+        """Free the slot of a run and learn from how it ended.
 
         Parameters
         ----------
         pause : float
-            Longest time between two events of its stream; 0 if it doesn't tell.
+            Longest time between two events of its stream; 0 if unknown.
         """
         server = self._find(name)
         run = server.remove(request, now) if server else None
@@ -452,12 +460,12 @@
                 self._long_prompts.record_pause(run.expected_pause, pause)
 
     def forget_router(self, router: ids.RouterId) -> None:
-        """Drop the runs of a router that is dead."""
+        """Drop the runs of a dead router."""
         for server in [*self._servers.values(), *self._removed_servers.values()]:
             server.forget(router)
 
     def expire(self, now: float) -> None:
-        """Drop runs whose end was never told."""
+        """Drop runs whose end was never reported."""
         if now < self._next_expiry_at:
             return
         self._next_expiry_at = now + EXPIRY_INTERVAL_SECONDS
@@ -466,21 +474,21 @@
             server.expire(now - EXPIRY_GRACE_SECONDS)
 
     def count_servers(self) -> int:
-        """Return how many servers may get new work."""
+        """Return the number of servers that may get new requests."""
         return len(self._servers)
 
     def count_runs(self) -> int:
-        """Return how many places are taken."""
+        """Return the number of slots in use."""
         return sum(
             len(server.runs)
             for server in [*self._servers.values(), *self._removed_servers.values()]
         )
 
     def measure_pending(self, now: float) -> float:
-        """Return how long reading that was begun takes, over all servers, in seconds.
+        """Return the mean pending prefill per server, in seconds.
 
-        Only so much counts at one server as is ever sent to one at a time: a server
-        that has stopped must not make a whole pool look full.
+        Each server counts for at most the limit up to which it is sent more, so that
+        one that has stopped doesn't make the whole pool look full.
         """
         if not self._servers:
             return 0.0
@@ -491,42 +499,42 @@
         return pending / len(self._servers)
 
     def estimate_slot_wait(self, waiting: int) -> float:
-        """Return when so many requests have found free places, in seconds."""
+        """Return the seconds until a request behind ``waiting`` others finds a slot."""
         taken = sum(len(server.runs) for server in self._ordered_servers)
         missing = waiting + 1 - (self._slots - taken)
         return max(0, missing) * self._mean_run_seconds / max(1, self._slots)
 
     def estimate_work(self, ask: messages.SlotRequest) -> float:
-        """Return the time that a request takes of one server, if nothing is kept.
+        """Return the server time that a request takes if nothing is cached.
 
-        For plain calls, of one place.
+        For plain calls, the time of one slot.
         """
         if self._engine is None:
             return poolservers.CALL_SECONDS_INITIAL
         return self._model.read_seconds(ask.prompt_tokens, 0)
 
     def estimate_wait(self, work: float) -> float:
-        """Return the time in which so much work will have been placed, in seconds."""
-        parts = self._slots if self._engine is None else len(self._servers)
-        return work / max(1, parts)
+        """Return the time until this much work has been placed, in seconds."""
+        lanes = self._slots if self._engine is None else len(self._servers)
+        return work / max(1, lanes)
 
     def estimate_first_event(self, ask: messages.SlotRequest) -> float:
-        """Return the time from a place to the first event, if the best server is free.
+        """Return the time from placement to the first event if the best server is free.
 
-        For plain calls, to the answer.
+        For plain calls, the time to the answer.
         """
         if self._engine is None:
             return poolservers.CALL_SECONDS_INITIAL
         cached = self._count_most_cached(ask)
-        unread = max(0, ask.prompt_tokens - cached)
-        return self._model.first_seconds + self._model.read_seconds(unread, cached)
+        uncached = max(0, ask.prompt_tokens - cached)
+        return self._model.first_seconds + self._model.read_seconds(uncached, cached)
 
     def count_dedicated(self) -> int:
-        """Return how many engines are set apart for long prompts."""
+        """Return the number of engines dedicated to long prompts."""
         return self._long_prompts.count_dedicated(len(self._servers))
 
     def _find_cache_source(self, ask: messages.SlotRequest, now: float) -> CacheSource:
-        """Return the engine that keeps most of a prompt, if engines copy."""
+        """Return the engine with the longest cached prefix, if engines can copy."""
         best = NO_CACHE_SOURCE
         if self._engine is None or not self._engine.copy_token_seconds:
             return best
@@ -542,7 +550,7 @@
         server: poolservers.PoolServer,
         cache_source: CacheSource,
     ) -> tuple[int, float, ids.ServerId | None]:
-        """Return what need not be read, the time to copy it, and from where."""
+        """Return tokens that need no prefill, copy time and copy source."""
         cached = server.cache.count_cached(ask.parts)
         missing = cache_source.cached_tokens - cached
         if missing < COPY_TOKENS_MIN or self._engine is None:
@@ -594,34 +602,36 @@
             for server in self._list_eligible(is_long, now):
                 if not server.is_available(now) or server.entry.server in excluded:
                     continue
-                cached, copy, _ = self._plan_copy(ask, server, cache_source)
+                cached, copy_seconds, _ = self._plan_copy(ask, server, cache_source)
                 if prompt.is_long(cached, server.slowdown) is not is_long:
                     continue
                 prefill = prompt.read(cached, len(server.runs), server.slowdown)
-                option = self._make_candidate(ask, server, prefill, copy, is_long, now)
-                best = min(best, option)
-                ready = min(ready, option) if option.is_ready else ready
+                candidate = self._make_candidate(
+                    ask, server, prefill, copy_seconds, is_long, now
+                )
+                best = min(best, candidate)
+                ready = min(ready, candidate) if candidate.is_ready else ready
         if not ready.is_ready:
             return None
         regret = ready.cost - best.cost
-        patience = (
-            AFFINITY_WAIT_SHARE * ask.objective if regret > REGRET_SECONDS_MIN else 0.0
-        )
-        return None if ask.waited + waited < patience else Choice(ready.server, regret)
+        wait = 0.0
+        if regret > REGRET_SECONDS_MIN:
+            wait = AFFINITY_WAIT_SHARE * ask.objective
+        return None if ask.waited + waited < wait else Choice(ready.server, regret)
 
     def _make_candidate(
         self,
         ask: messages.SlotRequest,
         server: poolservers.PoolServer,
         prefill: float,
-        copy: float,
+        copy_seconds: float,
         is_long: bool,
         now: float,
     ) -> Candidate:
-        """Return what it would mean to place a request at a server."""
+        """Return the cost of placing a request at a server, and whether it is ready."""
         pending = server.pending_seconds(now)
         cost = pending + PREFILL_WEIGHT * prefill + RUN_COST_SECONDS * len(server.runs)
-        cost += COPY_WEIGHT * copy
+        cost += COPY_WEIGHT * copy_seconds
         cost += server.health.failure_rate * FAILURE_COST_SECONDS + _remote_cost(
             server, ask
         )
@@ -639,7 +649,7 @@
         prefill: float,
         now: float,
     ) -> bool:
-        """Whether a server may get one more prompt now."""
+        """Whether a server can take one more prompt now."""
         burst = server.measure_burst(self._burst_pause_seconds, now)
         if burst <= 0.0 and pending <= 0.0:
             return True
@@ -662,9 +672,9 @@
         )
 
     def _is_long(
-        self, ask: messages.SlotRequest, cached: int, speed: float = 1.0
+        self, ask: messages.SlotRequest, cached: int, slowdown: float = 1.0
     ) -> bool:
-        return self._make_prompt(ask).is_long(cached, speed)
+        return self._make_prompt(ask).is_long(cached, slowdown)
 
 
 def _make_server(
@@ -675,7 +685,7 @@
 
 
 def _pause_limit(ask: messages.SlotRequest) -> float:
-    """Return the longest pause that streams like this may make, in seconds."""
+    """Return the longest pause allowed for the streams of a request, in seconds."""
     return ask.gap_max - GAP_MARGIN_SECONDS
 
 
