--- a/celeryspan/decisions/pools.py
+++ b/celeryspan/decisions/pools.py
@@ -1,22 +1,21 @@
-"""The ledger of a pool: who gets which place at the backend servers of one service.
-
-Load answered: all requests of a service, of all routers, at servers that admit in the
-order of arrival and know neither accounts nor objectives. (A service with many servers
-has several pools, see :mod:`shards`.) One router, the home of the
-pool, decides for all, since six routers that each see a sixth of an engine's prompts
-can neither keep long prompts apart nor hold accounts to equal shares.
-
-* The account that has begun least goes first (:mod:`accountshares`). Within it,
-  requests that can still be in time go before those that can't: a late answer is worth
-  less to its caller, and in a queue where all wait alike all are late. Otherwise the
-  order of arrival holds.
-* An account with nothing but late requests gives way to others, up to a bound: without
-  the bound one whose router holds requests up gets nothing beside a flood.
-* Where a request goes is chosen by :mod:`placing`; what no server can take yet waits
-  here, never in an engine's queue.
-* What can't be served in a sensible time is refused at once, with the time after which
-  a place is likely. An account that has more waiting than it gets places for in time
-  (:mod:`paces`) has no room in the queue.
+"""Assigns the slots of one pool of backend servers to waiting requests.
+
+The servers admit in order of arrival and know neither accounts nor latency objectives.
+One router, the home of the pool, therefore decides for all routers: six routers that
+each see a sixth of an engine's prompts can neither keep long prompts apart nor give
+accounts equal shares. A service with many servers has several pools (:mod:`shards`).
+
+* The account that has received the least service goes first (:mod:`accountshares`).
+  Within an account, requests that can still meet their objective go before late ones: a
+  late answer is worth less to its caller, and in a queue where all requests wait
+  equally long all of them are late. Otherwise they are served in order of arrival.
+* An account with only late requests yields to others, up to a bound. Without the bound,
+  an account whose router delays its requests gets nothing beside a flood.
+* :mod:`placing` selects the server. Requests that no server can take yet wait here and
+  never in an engine's queue.
+* Requests that can't be served in reasonable time are refused at once, with the time
+  after which a slot is likely to be free. So are requests of an account that already
+  has more waiting than its placement rate (:mod:`paces`) can serve in time.
 """
 
 from __future__ import annotations
@@ -32,52 +31,53 @@
 from celeryspan.wire import messages
 
 WAIT_TIMEOUT_SHARE = 0.25
-"""Part of the timeout after which a request that waits is refused: the caller can then
-still come back and be served. A late answer is worth more to it than none."""
+"""Share of the timeout after which a waiting request is refused, so that the caller
+still has time to retry. A late answer is worth more to it than none."""
 
 WAIT_OBJECTIVES_MAX = 3.0
-"""Latency objectives after which a request that waits is refused: callers give up on a
-stream without an event after four of them."""
+"""Latency objectives after which a waiting request is refused: callers abandon a stream
+without an event after four of them."""
 
 START_MARGIN_SECONDS = 0.1
-"""A request counts as in time only if it could start this much later still: a server
-has up to this much reading before it. With twice the load that engines can read it
-raised the answers in time from 443 of 786 to 649 of 772 (trial of the emulator)."""
+"""A request counts as in time only if it could start this much later, because a server
+may have this much prefill pending. At twice the load that engines can prefill, the
+margin raised the answers in time from 443 of 786 to 649 of 772 (trial of the
+emulator)."""
 
 LATE_WEIGHT = 1.5
-"""What service counts for when an account has only late requests: two thirds of what
-others get, where fairness asks for half."""
+"""Weight of service that an account has received if all its waiting requests are late.
+It then gets two thirds of what others get; fairness requires half."""
 
 ACCOUNT_QUEUE_OBJECTIVES = 3.0
-"""Latency objectives of work that one account may have waiting at its pace: as long as
-a request waits at most."""
+"""Work that one account may have waiting at its placement rate, in latency objectives:
+as long as a request waits at most."""
 
 ACCOUNT_QUEUE_PER_SERVER_MIN = 16
-"""Requests of one account that may wait for each server, whatever its pace."""
+"""Requests of one account that may wait per server, whatever its placement rate."""
 
 NO_SERVER = ids.ServerId("")
 
 LOOKAHEAD_REQUESTS = 10
-"""Requests of one account that are weighed against each other: one that fits nowhere
-yet does not hold up the rest, and the choice is bounded in time."""
+"""Requests of one account compared in each decision. One that fits no server yet
+doesn't block the rest, and the time of a decision is bounded."""
 
 RETRY_JITTER = 0.5
-"""Refused callers return over a time this much longer than the estimate."""
+"""Largest random part added to the retry time of refused callers, relative to it."""
 
 RETRY_SECONDS_MIN = 0.05
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What a router is told, and what decided it.
+    """A decision on a request and the data behind it.
 
     Attributes
     ----------
     waited : float
-        Time that the request waited here, in seconds.
+        Time that the request waited in this pool, in seconds.
     is_late : bool
-        Whether it can no longer be in time.
+        Whether it can no longer meet its latency objective.
     run : Run or None
-        The place taken; None for a refusal.
+        The run that was started; None for a refusal.
     """
 
     router: ids.RouterId
@@ -89,9 +89,10 @@
 
 
 class GroupKey(NamedTuple):
-    """Requests of one account that are weighed against each other.
+    """Key of a group of waiting requests of one account that are compared.
 
-    Those in time go before the late ones of the same account: its level counts less.
+    Requests in time sort before late ones of the same account, because late ones weigh
+    the account's received service higher.
     """
 
     is_late: bool
@@ -102,12 +103,12 @@
 
 
 class Pool:
-    """Places at the servers of one service, and the requests that wait for them.
+    """The slots at the servers of one pool and the requests waiting for them.
 
     Parameters
     ----------
     generator : random.Random
-        Spreads the return of those refused.
+        Source of the jitter in retry times.
     """
 
     def __init__(self, name: ids.PoolId, generator: random.Random) -> None:
@@ -122,11 +123,11 @@
     def set_servers(
         self, entries: Sequence[catalog.ServerEntry], engine: catalog.Engine | None
     ) -> None:
-        """Set which servers may get new work."""
+        """Set the servers that may get new requests."""
         self._placer.set_servers(entries, engine)
 
     def pop_unqueried(self) -> list[catalog.ServerEntry]:
-        """Return the engines that are to be asked what they keep; each comes once."""
+        """Return the engines to query for their cached parts, each of them once."""
         return self._placer.pop_unqueried()
 
     def add_cached_parts(
@@ -135,16 +136,16 @@
         parts: Iterable[messages.PromptPart],
         now: float,
     ) -> None:
-        """Take in what an engine says that it keeps."""
+        """Add the parts that an engine reports as cached."""
         self._placer.add_cached_parts(asked, parts, now)
 
     def ask(
         self, router: ids.RouterId, ask: messages.SlotRequest, now: float
     ) -> list[Answer]:
-        """Take in a request; returns what is decided at once.
+        """Queue a request; returns the decisions made at once.
 
-        While others wait the next :meth:`tick` decides for all: deciding anew for each
-        message took a whole core with some hundred requests waiting.
+        While other requests wait, the next :meth:`tick` decides for all: deciding again
+        for each message took a whole core with a few hundred requests waiting.
         """
         task = self._make_task(router, ask, now)
         if self._placer.exceeds_memory(ask):
@@ -157,9 +158,10 @@
         return [] if others_wait else self.decide(now)
 
     def _exceeds_queue_limit(self, ask: messages.SlotRequest, now: float) -> bool:
-        """Whether more of an account waits than gets places in time.
+        """Whether more requests of an account wait than can be placed in time.
 
-        Without a server there is no pace to go by: the list may be late.
+        Without servers there is no placement rate to compare with, because the list of
+        servers may not have arrived yet.
         """
         servers = self._placer.count_servers()
         waiting = self._queue.count(ask.account)
@@ -173,7 +175,7 @@
     ) -> poolqueue.Task:
         arrived = now - ask.waited
         first_event = self._placer.estimate_first_event(ask)
-        patience = min(
+        wait_max = min(
             ask.timeout * WAIT_TIMEOUT_SHARE, ask.objective * WAIT_OBJECTIVES_MAX
         )
         return poolqueue.Task(
@@ -181,25 +183,25 @@
             router,
             arrived_at=now,
             start_by=arrived + ask.objective - first_event - START_MARGIN_SECONDS,
-            give_up_at=arrived + patience - first_event,
+            give_up_at=arrived + wait_max - first_event,
             end_at=arrived + ask.timeout,
             is_long=self._placer.is_long(ask),
             work=self._placer.estimate_work(ask),
         )
 
     def cancel(self, request: ids.RequestId) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         self._queue.cancel(request)
 
     def begin(
         self, request: ids.RequestId, server: ids.ServerId, now: float
     ) -> ids.ServerId | None:
-        """Note the first event of a run; returns where it is to go on, if it moves."""
+        """Record the first event of a run; returns its target server if it moves."""
         self._placer.begin(request, server, now)
         return self._placer.migrate(request, server, now)
 
     def settle_migration(self, moved: messages.RunMoved, now: float) -> None:
-        """Take back the place that a run has left, or did not move to."""
+        """Free the slot that a run has left, or the one that it didn't move to."""
         self._placer.settle_migration(
             moved.request, moved.server, moved.target, now, is_moved=moved.is_moved
         )
@@ -212,69 +214,69 @@
         now: float,
         pause: float = 0.0,
     ) -> None:
-        """Take a place back; ``pause`` is the longest between two events."""
+        """Free the slot of a run; ``pause`` is its longest time between two events."""
         self._placer.end(request, server, ending, now, pause)
 
     def restore_run(
         self, router: ids.RouterId, run: messages.RunHeld, now: float
     ) -> None:
-        """Take in a run that another home has placed."""
+        """Record a run that another home has placed."""
         self._placer.restore_run(router, run, now)
 
     def forget_router(self, router: ids.RouterId) -> None:
-        """Drop the requests and runs of a router that is dead."""
+        """Drop the requests and runs of a dead router."""
         self._queue.remove_matching(lambda task: task.router == router)
         self._placer.forget_router(router)
 
     def list_routers(self) -> set[ids.RouterId]:
-        """Return the routers whose requests wait here."""
+        """Return the routers that have requests waiting here."""
         return self._queue.list_routers()
 
     def count_waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._queue)
 
     def list_backlogs(self, now: float) -> list[poolqueue.Backlog]:
-        """Return what waits of each account, those with most waiting first."""
+        """Return the backlog of each account, largest first."""
         return self._queue.list_backlogs(
             lambda account: self._shares.measure(account, now), now
         )
 
     def count_runs(self) -> int:
-        """Return how many places are taken."""
+        """Return the number of slots in use."""
         return self._placer.count_runs()
 
     def sum_shares(
         self, dimension: int, now: float
     ) -> tuple[messages.AccountUnits, ...]:
-        """Return what the partner in a dimension is to be told of accounts."""
+        """Return the units per account to send to the partner in a dimension."""
         units = self._shares.sum_units(dimension, now)
         return tuple(
             messages.AccountUnits(name, value) for name, value in units.items()
         )
 
     def receive_shares(self, told: messages.PoolShares, now: float) -> None:
-        """Take in what another shard says that accounts have begun."""
+        """Store the units per account received from another shard."""
         units = {each.account: each.units for each in told.units}
         self._shares.receive(told.dimension, units, now)
 
     def measure_pressure(self, now: float) -> float:
-        """Return how long a request that comes now would wait, in seconds."""
+        """Return how long a request that arrives now would wait, in seconds."""
         slot_wait = self._placer.estimate_slot_wait(self.count_waiting())
         return max(slot_wait, self._queue_seconds) + self._placer.measure_pending(now)
 
     def tick(self, now: float) -> list[Answer]:
-        """Decide again: servers have read on, and some have waited too long."""
+        """Expire overdue requests and runs, then place waiting requests."""
         self._placer.expire(now)
         answers = self._expire(now) + self.decide(now)
         self._queue_seconds = self._estimate_wait()
         return answers
 
     def decide(self, now: float) -> list[Answer]:
-        """Place as many requests as servers can take now.
+        """Place as many waiting requests as servers can take now.
 
-        Long prompts go to servers of their own, so that neither kind waits behind the
-        other's oldest requests.
+        Long prompts and other requests are placed separately, because they go to
+        different servers; neither kind waits behind the oldest requests of the other.
         """
         answers: list[Answer] = []
         for is_long in (False, True):
@@ -284,7 +286,7 @@
         return answers
 
     def _group_waiting(self, is_long: bool, now: float) -> TasksByGroup:
-        """Return the requests of each account that fit, oldest first."""
+        """Return the waiting requests that could run, grouped and oldest first."""
         found: TasksByGroup = {}
         for task in self._queue:
             if task.is_long == is_long and self._can_place(task.ask):
@@ -295,7 +297,7 @@
         return found
 
     def _can_place(self, ask: messages.SlotRequest) -> bool:
-        """Whether a request need not wait for others that run apart, as it must."""
+        """Whether a request needs no isolation, or can be isolated now."""
         return not ask.isolation or self._placer.can_isolate(ask)
 
     def _place_groups(
@@ -312,15 +314,16 @@
         return answers
 
     def _priority(self, group: GroupKey) -> tuple[float, GroupKey]:
-        """Return the place of an account in line; the least goes first."""
+        """Return the sort key of a group; the lowest is placed first."""
         level = self._shares.level(group.account)
         return level * (LATE_WEIGHT if group.is_late else 1.0), group
 
     def _place_one(self, tasks: list[poolqueue.Task], now: float) -> Answer | None:
-        """Place one of the oldest requests, and take it out.
+        """Place one of the oldest requests of a group and remove it from the group.
 
-        It is the one that fits the servers that are free best: in a peak one engine at
-        a time is free, and would read again what another one keeps.
+        The request that fits the free servers best is chosen: in a peak, one engine at
+        a time is free, and it would otherwise prefill parts that another engine has
+        cached.
         """
         best: tuple[float, int, ids.ServerId] | None = None
         for index, task in enumerate(tasks[:LOOKAHEAD_REQUESTS]):
@@ -360,7 +363,7 @@
         return _make_answer(task, refusal, now)
 
     def _estimate_wait(self) -> float:
-        """Return the time in which what waits now will have been placed, in seconds."""
+        """Return the time until all waiting requests have been placed, in seconds."""
         return self._placer.estimate_wait(self._queue.work)
 
 
