--- a/celeryspan/decisions/poolqueue.py
+++ b/celeryspan/decisions/poolqueue.py
@@ -1,4 +1,4 @@
-"""The requests of one pool that wait for a place, by client account."""
+"""Requests that wait for a slot in one pool, grouped by client account."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from celeryspan.wire import messages
 
 OUTPUT_WEIGHT = 2.0
-"""A generated token counts as two that are read."""
+"""Weight of a generated token relative to a prompt token."""
 
 
 class Task(msgspec.Struct):
-    """A request that waits.
+    """A waiting request.
 
     Attributes
     ----------
     start_by, give_up_at, end_at : float
-        Until when the request must be placed to be in time, when waiting ends, and when
-        the request must have ended; on the home's clock, in seconds.
+        Latest start that meets the latency objective, time at which waiting ends, and
+        deadline of the request; on the home's clock, in seconds.
     work : float
-        What it takes of a server, in seconds.
+        Estimated server time, in seconds.
     """
 
     ask: messages.SlotRequest
@@ -42,14 +42,14 @@
 
 
 class Backlog(msgspec.Struct, frozen=True):
-    """What waits of one account.
+    """Waiting requests of one account.
 
     Attributes
     ----------
     late : int
-        Requests among those that wait which can no longer be in time.
+        Waiting requests that can no longer meet their latency objective.
     level : float
-        Service that the account has begun to get of late in all shards, in tokens.
+        Service that the account has recently received in all shards, in tokens.
     """
 
     account: ids.AccountId
@@ -59,12 +59,12 @@
 
 
 class PoolQueue:
-    """Requests that wait, and the work that they are.
+    """Waiting requests and their total work.
 
     Attributes
     ----------
     work : float
-        What all of them take of servers, in seconds.
+        Estimated server time of all waiting requests, in seconds.
     """
 
     def __init__(self) -> None:
@@ -83,44 +83,44 @@
             yield from tasks.values()
 
     def add(self, task: Task) -> None:
-        """Let a request wait."""
+        """Add a request."""
         self._tasks.setdefault(task.ask.account, {})[task.ask.request] = task
         self.work += task.work
 
     def remove(self, task: Task) -> None:
-        """Take out a request if it waits."""
+        """Remove a request if it is queued."""
         self._remove(task.ask.account, task.ask.request)
 
     def cancel(self, request: ids.RequestId) -> None:
-        """Take out a request of whatever account, if it waits."""
+        """Remove a request by its id, whatever its account, if it is queued."""
         for account in list(self._tasks):
             if self._remove(account, request):
                 return
 
     def remove_matching(self, is_taken: Callable[[Task], bool]) -> list[Task]:
-        """Take out all requests for which something holds, and return them."""
+        """Remove all requests that match a predicate and return them."""
         found = [task for task in self if is_taken(task)]
         for task in found:
             self.remove(task)
         return found
 
     def count(self, account: ids.AccountId) -> int:
-        """Return how many requests of an account wait."""
+        """Return the number of waiting requests of an account."""
         return len(self._tasks.get(account, ()))
 
     def list_routers(self) -> set[ids.RouterId]:
-        """Return the routers whose requests wait."""
+        """Return the routers that have requests waiting."""
         return {task.router for task in self}
 
     def list_backlogs(
         self, measure: Callable[[ids.AccountId], float], now: float
     ) -> list[Backlog]:
-        """Return what waits of each account, those with most waiting first.
+        """Return the backlog of each account, largest first.
 
         Parameters
         ----------
         measure : callable
-            Returns the service that an account has begun to get of late, in tokens.
+            Returns the service that an account has recently received, in tokens.
         """
         found = [
             Backlog(
@@ -131,18 +131,18 @@
         return sorted(found, key=lambda each: -each.waiting)
 
     def _remove(self, account: ids.AccountId, request: ids.RequestId) -> bool:
-        """Take out a request if it waits; returns whether it did."""
+        """Remove a request if it is queued; returns whether it was."""
         tasks = self._tasks.get(account, {})
         task = tasks.pop(request, None)
         if task is None:
             return False
         if not tasks:
             del self._tasks[account]
-        # Rounding errors of many sums and differences end with the queue.
+        # Reset when the queue is empty so that rounding errors don't accumulate.
         self.work = self.work - task.work if self._tasks else 0.0
         return True
 
 
 def count_late(tasks: Iterable[Task], now: float) -> int:
-    """Return how many requests can no longer be in time."""
+    """Return how many requests can no longer meet their latency objective."""
     return sum(task.start_by < now for task in tasks)
