--- a/celeryspan/decisions/poolservers.py
+++ b/celeryspan/decisions/poolservers.py
@@ -1,8 +1,8 @@
-"""What the home of a pool knows of one backend server, and learns from its runs.
+"""State of one backend server as tracked by the home of its pool.
 
-Load answered: servers of the same service that are slow, dark or start anew, and whose
-own reports are late. What a server does is predicted from what was sent to it, and the
-prediction is corrected by when first events and answers come.
+Servers of one service may be slow, unreachable or restarting, and the load that they
+report themselves is late. Each server's state is therefore predicted from the requests
+sent to it, and corrected when first events and answers arrive.
 """
 
 from __future__ import annotations
@@ -19,59 +19,59 @@
     from celeryspan.wire import messages
 
 PENDING_PREFILL_SECONDS_MAX = 0.1
-"""Reading pending at one engine beyond which nothing is sent there: a sixth of the
-shortest objective that streams have."""
+"""Pending prefill at one engine above which it is sent no more: a sixth of the shortest
+latency objective of streams."""
 
 SLOWDOWN_FALL_WEIGHT = 0.3
 SLOWDOWN_RISE_WEIGHT = 0.05
-"""Part of the way that a server's speed follows one reading, down and up. A router with
-much to do tells late of first events, so that readings seem slow now and then and never
-fast; the mean of all held engines of the usual speed for two to eight times slower on
-a full day."""
+"""Weight of the newest sample in a server's slowdown, falling and rising. A busy router
+reports first events late, so samples err only towards slow; with a plain mean, engines
+of the usual speed were taken to be two to eight times slower on a full day."""
 
 SLOWDOWN_PRIOR_SAMPLES = 2
-"""What the first value of a speed counts for, in readings: the first ones move it by a
-third, a quarter and so on. At engines that take 2.3 times the model's time the mean
-speed believed was 1.9 in the first four seconds with a twentieth each, and 1.2 after a
-restart of all routers."""
+"""Weight of the initial slowdown, in samples: the first samples move it by a third, a
+quarter and so on. With engines that take 2.3 times the model's time and a fixed weight
+of a twentieth, the mean slowdown was estimated at 1.9 in the first four seconds, and at
+1.2 after a restart of all routers."""
 
 SLOWDOWN_SAMPLE_SECONDS_MIN = 0.04
-"""Readings shorter than this tell nothing: the step that is under way and the messages
-take a few ten milliseconds."""
+"""Shorter prefills are not used as samples: the step in progress and the messages take
+a few tens of milliseconds."""
 
 SLOWDOWN_RANGE = (0.8, 8.0)
-"""How far a server's own speed may differ from the model."""
+"""Smallest and largest slowdown of a server relative to the model."""
 
 CALL_SECONDS_INITIAL = 0.02
-"""Expected time of a plain call before any was seen."""
+"""Expected time of a plain call before the first sample."""
 
 CALL_TIME_WEIGHT = 0.1
 
 
 class Run(msgspec.Struct):
-    """A place in use.
+    """A request that occupies a slot.
 
     Attributes
     ----------
-    kept : int
-        Tokens of the prompt that need not be read.
-    pending, read : float
-        Predicted time of reading what came before, and this prompt, in seconds.
-    speed : float
-        Of the server, as it was believed then.
+    cached_tokens : int
+        Tokens of the prompt that need no prefill.
+    pending_seconds, prefill_seconds : float
+        Predicted prefill time of earlier prompts and of this one.
+    slowdown : float
+        Slowdown of the server when the run was placed.
     due_at : float
-        When the first event is predicted.
+        Predicted time of the first event.
     source : ServerId
-        The server from which kept parts are copied, if there is one.
+        Server from which cached parts are copied, if any.
     pause : float
-        How long the model says that streams pause beside this prompt, if that is too
-        long; 0 if it is not.
+        Predicted pause of streams beside this prompt if it exceeds the limit; otherwise
+        0.
     begun_at : float
-        When the first event came.
-    paused_beside : float
-        The longest ``pause`` of the prompts that were read while this run made events.
+        Time of the first event.
+    expected_pause : float
+        The largest ``pause`` of the prompts that were prefilled while this run
+        streamed.
     isolation : int
-        Fingerprint of a request that runs apart from others of its kind; 0 for none.
+        Fingerprint of a request that must run isolated; 0 for none.
     """
 
     router: ids.RouterId
@@ -94,20 +94,20 @@
 
 
 class PoolServer:
-    """One backend server of a pool and what runs there.
+    """One backend server of a pool and its runs.
 
     Attributes
     ----------
     order : int
-        Place among the servers when some are set apart; the same for all routers.
-    speed : float
-        How many times as long as the model says the server takes to read.
-    readings : int
-        From how many readings the speed was learned.
-    is_listed : bool
-        Whether the engine was asked what it keeps.
+        Sort key that selects the dedicated engines; the same on all routers.
+    slowdown : float
+        Prefill time relative to the model's.
+    slowdown_samples : int
+        Samples from which the slowdown was estimated.
+    is_queried : bool
+        Whether the engine has been queried for its cached parts.
     burst : float
-        Reading without a step between that reads nothing, in seconds.
+        Prefill without a step free of prefill in between, in seconds.
     """
 
     def __init__(
@@ -128,18 +128,18 @@
 
     @property
     def prefill_done_at(self) -> float:
-        """When all that was sent is predicted to be read."""
+        """Predicted time at which all pending prefill is done."""
         return self._prefill_done_at
 
     def add(
         self, request: ids.RequestId, run: Run, now: float, rest: float = 0.0
     ) -> None:
-        """Take in a run; its reading begins when all before it is done.
+        """Add a run; its prefill starts when all earlier prefill is done.
 
         Parameters
         ----------
         rest : float
-            Time without reading after which a new burst begins, in seconds.
+            Time without prefill after which a new burst starts, in seconds.
         """
         self.burst = self.measure_burst(rest, now) + run.prefill_seconds
         self.runs[request] = run
@@ -148,7 +148,7 @@
         self._prefill_done_at = max(now, self._prefill_done_at) + run.prefill_seconds
 
     def begin(self, request: ids.RequestId, first_seconds: float, now: float) -> None:
-        """Note the first event of a run; learn how fast the server reads."""
+        """Record the first event of a run and update the server's slowdown."""
         run = self._prefilling.pop(request, None)
         if run is None:
             return
@@ -161,13 +161,13 @@
         self._trim_prefill_estimate(now)
 
     def _record_pause(self, prompt: Run) -> None:
-        """Note a long prompt that is read at the streams that began before it."""
+        """Record a long prompt at the streams that were running beside it."""
         for run in self.runs.values():
             if run.begun_at <= prompt.since:
                 run.expected_pause = max(run.expected_pause, prompt.pause)
 
     def remove(self, request: ids.RequestId, now: float) -> Run | None:
-        """Take out a run that has ended."""
+        """Remove a run that has ended."""
         self._prefilling.pop(request, None)
         run = self.runs.pop(request, None)
         if run is not None:
@@ -175,7 +175,7 @@
         return run
 
     def forget(self, router: ids.RouterId) -> None:
-        """Drop the runs of a router that is dead: its connections are closed."""
+        """Drop the runs of a dead router, whose connections are closed."""
         self._retain_runs(
             [key for key, run in self.runs.items() if run.router != router]
         )
@@ -188,7 +188,7 @@
             )
 
     def record_ending(self, ending: states.RunEnding, took: float, now: float) -> None:
-        """Learn from how a run ended."""
+        """Update health and timing estimates from the end of a run."""
         match ending:
             case states.RunEnding.ANSWERED:
                 self.health.record_success()
@@ -203,10 +203,10 @@
                 )
 
     def pending_seconds(self, now: float) -> float:
-        """Return the seconds of reading that lie before a new prompt.
+        """Return the prefill time ahead of a new prompt, in seconds.
 
-        Runs that are overdue count for as long as they are: a server that has become
-        slow or dark looks idle otherwise, and draws all requests.
+        An overdue run counts for as long as it is overdue: otherwise a server that has
+        become slow or unreachable would look idle and attract all requests.
         """
         pending = self._prefill_done_at - now
         for run in self._prefilling.values():
@@ -215,20 +215,20 @@
         return pending if pending > 0.0 else 0.0
 
     def measure_burst(self, rest: float, now: float) -> float:
-        """Return the seconds of reading since the last rest of so many seconds."""
+        """Return the prefill since the last pause of at least ``rest`` seconds."""
         rested = now >= self._prefill_done_at + rest * self.slowdown
         return 0.0 if rested and self.pending_seconds(now) <= 0.0 else self.burst
 
     def is_prefilling_long(self) -> bool:
-        """Whether a long prompt is being read."""
+        """Whether a long prompt is being prefilled."""
         return any(run.is_long for run in self._prefilling.values())
 
     def is_available(self, now: float) -> bool:
-        """Whether there is a place, and the server is not at rest."""
+        """Whether the server has a free slot and is not backing off."""
         return len(self.runs) < self.entry.slots and not self.health.is_backing_off(now)
 
     def _update_slowdown(self, predicted: float, observed: float) -> None:
-        """Learn from one reading; ``predicted`` is for a server of speed 1."""
+        """Add one sample; ``predicted`` is for a server with a slowdown of 1."""
         if predicted < SLOWDOWN_SAMPLE_SECONDS_MIN:
             return
         low, high = SLOWDOWN_RANGE
@@ -239,7 +239,7 @@
         self.slowdown += (ratio - self.slowdown) * weight
 
     def _trim_prefill_estimate(self, now: float) -> None:
-        """Take back what was predicted beyond what is still unread."""
+        """Limit the predicted prefill to that of the runs still in prefill."""
         remaining = sum(run.prefill_seconds for run in self._prefilling.values())
         self._prefill_done_at = min(self._prefill_done_at, now + remaining)
 
