--- a/celeryspan/decisions/shards.py
+++ b/celeryspan/decisions/shards.py
@@ -1,25 +1,26 @@
-"""How a pool of many backend servers is divided among several homes.
-
-Load answered: a service with 56 model engines gets over a thousand requests a second in
-a peak, each of which is four messages to the home that decides. One home then uses all
-of its processor: requests wait for its word until their callers give up, while the
-engines idle. Served by one home, 66 routers answered one in seven requests in time.
-
-A pool is cut into shards of some seven servers. Each shard has its own home and its own
-ledger; a router sends a request to the shard of its prompt's shared parts, so that each
-part is kept by the engines of one shard.
-
-* The number of shards is a power of two, and shards are nested: shard ``i`` of four is
-  shards ``i`` and ``i + 4`` of eight. When servers crash and come back, so that the
-  number changes, half of the homes and most of what they know stay.
-* Any router works out the same shards from the list of servers, and the same homes from
-  the membership. Where lists differ for a moment two homes may place at one server:
-  order is lost then, outcomes are not.
-* Homes are on the largest VMs: the ledger's work grows with what the whole fleet is
-  asked for, and a small VM has little left beside its own callers.
-* A hot part fills the engines of its shard. Homes say with each answer how long
-  requests wait there, and a router sends a request elsewhere when that is worth reading
-  its shared parts again, so that no engine idles while requests wait for another.
+"""Divides a pool of many backend servers among several homes.
+
+In a peak, a service with 56 model engines gets over a thousand requests a second, each
+of which is four messages to the home that decides. A single home then uses up its
+processor: requests wait for its decision until their callers give up while the engines
+idle. With one home, 66 routers answered one in seven requests in time.
+
+A pool is divided into shards of about seven servers. Each shard has its own home and
+queue. A router sends a request to the shard that its prompt's shared parts hash to, so
+that only the engines of that shard cache them.
+
+* The number of shards is a power of two, and shards are nested: shard ``i`` of four
+  consists of shards ``i`` and ``i + 4`` of eight. When servers crash and return, so
+  that the number changes, half of the homes and most of their state stay valid.
+* All routers derive the same shards from the list of servers and the same homes from
+  the membership. While their lists differ, two homes may place requests at one server;
+  requests may then be served out of order, but their outcomes stay correct.
+* Homes are on the largest VMs: their work grows with the load of the whole fleet, and a
+  small VM has little processor time left beside its own callers.
+* A hot part fills the engines of its shard. Homes report with each answer how long
+  requests wait there. A router sends a request to another shard when the shorter wait
+  is worth prefilling its shared parts again, so that no engine idles while requests
+  wait for another.
 """
 
 from __future__ import annotations
@@ -39,46 +40,47 @@
     from celeryspan.wire import messages
 
 SERVERS_PER_SHARD = 7
-"""Servers of one shard, between 5 and 10 as their number changes: enough to set one
-apart for long prompts, and few enough that a home decides for at most 250 requests a
-second, a third of half a core as the platform counts it."""
+"""Servers per shard; as their number changes, shards have 5 to 10. That is enough to
+dedicate one to long prompts, and few enough that a home decides at most 250 requests a
+second, which takes a third of half a core as the platform counts it."""
 
 SPLIT_SERVERS_MIN = 15
-"""Below this many servers one home sees them all and keeps long prompts apart best."""
+"""Below this many servers there is one shard, whose home sees all of them and keeps
+long prompts apart best."""
 
 PRESSURE_TTL_SECONDS = 1.5
-"""What a home has said of its waiting time counts for nothing after this long: a router
-that sends a shard nothing hears nothing of it."""
+"""Age at which a reported waiting time expires: a router that sends nothing to a shard
+gets no reports from it."""
 
 RECENT_SHARD_SECONDS = 5.0
-"""A part that this router has sent to a shard is taken to be kept there for so long.
-Half of all drafts about one subject were served in 95 of 100 cases when each of them
-was charged for reading the part in its second shard (emulated engines)."""
+"""Time for which a part that this router sent to a shard is assumed to be cached there.
+When each request was charged for prefilling the part in its second shard, half of all
+drafts about one subject were served in 95 of 100 cases (emulated engines)."""
 
 RECENT_PARTS_MAX = 4_000
-"""Parts whose shards are remembered: those of five seconds at 800 requests a second."""
+"""Parts whose recent shards are stored: five seconds at 800 requests a second."""
 
 CORES_STEP = 0.25
 
 NOT_BUSY_CORES_SHARE_MIN = 0.5
-"""Part of all cores that routers which are not busy must have to keep all ledgers."""
+"""Share of all cores that routers which are not busy must have to host all homes."""
 
 UNKNOWN_CORES: Mapping[ids.RouterId, float] = {}
 
 SHARD_HASH_SEEDS = (0, 1)
-"""A part's first and second shard; hot parts overflow to the second before others, so
-that they are read again in one more shard and not in all."""
+"""Seeds for a part's first and second shard. Hot parts overflow to the second before
+any other, so that they are prefilled again in one more shard and not in all."""
 
 
 def count_shards(servers: int) -> int:
-    """Return the number of shards for so many servers, a power of two."""
+    """Return the number of shards for a number of servers, a power of two."""
     if servers < SPLIT_SERVERS_MIN:
         return 1
     return 2 ** max(0, round(math.log2(servers / SERVERS_PER_SHARD)))
 
 
 class Division(msgspec.Struct, frozen=True):
-    """How the servers of one service are divided now.
+    """The shards of one service.
 
     Attributes
     ----------
@@ -91,20 +93,20 @@
 
 
 SINGLE_SHARD = Division(1, {})
-"""A service of which no server is known."""
+"""Division of a service without known servers."""
 
 
 def divide(servers: Collection[ids.ServerId]) -> Division:
-    """Return how the servers of one service are divided."""
+    """Divide the servers of one service into shards."""
     count = count_shards(len(servers))
     return Division(count, split(servers, count))
 
 
 def split(servers: Iterable[ids.ServerId], count: int) -> dict[ids.ServerId, int]:
-    """Return the shard of each server; shards differ by a few servers at most.
+    """Return the shard of each server; shard sizes differ by a few servers at most.
 
-    The servers are halved again and again. A server goes to the half that its hash
-    names, or to the other one if that half is full, so that one that joins or leaves
+    The servers are halved repeatedly. A server goes to the half selected by its hash,
+    or to the other one if that half is full, so that a server that joins or leaves
     moves few others.
     """
     ordered = sorted(servers, key=lambda name: (_hash(name), name))
@@ -135,12 +137,12 @@
 
 
 def name_pool(service: ids.ServiceId, count: int, shard: int) -> ids.PoolId:
-    """Return the name of one shard of a service's pool."""
+    """Return the name of the pool for one shard of a service."""
     return ids.PoolId(f"{service}#{count}#{shard}")
 
 
 def parse_pool(pool: ids.PoolId) -> tuple[ids.ServiceId, int, int]:
-    """Return service, number of shards and shard; raises ValueError."""
+    """Return the service, number of shards and shard; raises ValueError."""
     service, count, shard = pool.rsplit("#", 2)
     return ids.ServiceId(service), int(count), int(shard)
 
@@ -151,15 +153,16 @@
     routers: Collection[ids.RouterId],
     cores: Mapping[ids.RouterId, float] = UNKNOWN_CORES,
 ) -> tuple[ids.RouterId, ...]:
-    """Return the home of each shard, on the VMs that are least used up by it.
+    """Return the home of each shard, spreading them by the sizes of the VMs.
 
-    Of equal VMs each is home once before one is home twice; a hash chooses among them.
-    The home of a shard does not hang on the number of shards.
+    Each shard goes to the VM with the lowest number of homes per core, so that equal
+    VMs each get one home before any gets two; a hash breaks ties. A shard's home
+    doesn't depend on the number of shards.
 
     Parameters
     ----------
     cores : mapping
-        Processor time of each router's VM, in cores; one core where it is not known.
+        Processor time of each router's VM, in cores; one core if unknown.
     """
     sizes = {router: round_cores(cores.get(router, 1.0)) for router in routers}
     held: collections.Counter[ids.RouterId] = collections.Counter()
@@ -176,16 +179,16 @@
 
 
 def list_running(members: Iterable[messages.Member]) -> list[messages.Member]:
-    """Return the routers that take part; those that stop hand over."""
+    """Return the routers that are not leaving; leaving routers hand over."""
     leaving = states.MemberState.LEAVING
     return [member for member in members if member.state is not leaving]
 
 
 def list_hosts(running: Collection[messages.Member]) -> dict[ids.RouterId, float]:
-    """Return the routers that may be homes, and how many cores each has.
+    """Return the routers that may be homes and their cores.
 
-    Those whose processors have no time left hand over too, unless they are so many
-    that the others would be used up as well.
+    Busy routers hand over as well, unless the others have too few cores and would be
+    overloaded in turn.
     """
     calm = [member for member in running if not member.is_busy]
     enough = sum(member.cores for member in running) * NOT_BUSY_CORES_SHARE_MIN
@@ -195,12 +198,12 @@
 
 
 def round_cores(cores: float) -> float:
-    """Return a VM's size; VMs that hardly differ are alike."""
+    """Return a VM's size, rounded so that nearly equal VMs count as equal."""
     return max(CORES_STEP, round(cores / CORES_STEP) * CORES_STEP)
 
 
 def rank_shards(key: str, count: int) -> tuple[int, ...]:
-    """Return the shards that a prompt's shared parts belong to, the first one first."""
+    """Return the shards that a prompt's shared parts hash to, the first one first."""
     mask = count - 1
     return tuple(
         dict.fromkeys(_hash(f"{seed} {key}") & mask for seed in SHARD_HASH_SEEDS)
@@ -208,10 +211,10 @@
 
 
 def find_affinity(ask: messages.SlotRequest) -> tuple[str, float]:
-    """Return the key of a request's shared parts, and what reading them again costs.
+    """Return the key of a request's shared parts and the cost of prefilling them again.
 
-    The last part belongs to the request itself or its session. The cost is in seconds
-    of waiting, weighed as it is between the servers of one shard.
+    The last part belongs to the request itself or to its session and isn't shared. The
+    cost is in weighted seconds, as for the servers of one shard.
     """
     if not ask.parts:
         return ask.request, 0.0
@@ -226,12 +229,12 @@
 
 
 class Pressure(msgspec.Struct, frozen=True):
-    """What a home has said of its shard.
+    """The load of a shard as reported by its home.
 
     Attributes
     ----------
     seconds : float
-        How long a request that comes now waits for a place.
+        How long a new request waits for a slot.
     """
 
     seconds: float
@@ -239,7 +242,7 @@
 
 
 class Pressures:
-    """How long requests wait in each shard, as one router has heard lately."""
+    """Waiting times of the shards, as recently reported to one router."""
 
     def __init__(self) -> None:
         self._reports: dict[ids.PoolId, Pressure] = {}
@@ -248,11 +251,11 @@
         )
 
     def record(self, pool: ids.PoolId, seconds: float, now: float) -> None:
-        """Take in what a home says."""
+        """Store the waiting time reported by a home."""
         self._reports[pool] = Pressure(seconds, now)
 
     def estimate(self, pool: ids.PoolId, now: float) -> float:
-        """Return how long requests wait in a shard; less as the word grows old."""
+        """Return the waiting time of a shard; it declines with the report's age."""
         found = self._reports.get(pool)
         if found is None:
             return 0.0
@@ -272,9 +275,9 @@
         Parameters
         ----------
         key : str
-            Names the shared parts of its prompt.
+            Identifies the shared parts of its prompt.
         penalty : float
-            What it costs to read these again in another shard, in seconds.
+            Cost of prefilling these parts again in another shard, in seconds.
         """
         if count == 1:
             return 0
@@ -288,7 +291,7 @@
         best, cost = first, waits[first]
         for shard in (*others, *recent, least):
             if shard >= count:
-                continue  # Remembered from when there were more shards.
+                continue  # Stored while there were more shards.
             charge = 0.0 if shard in recent else penalty
             if waits[shard] + charge < cost:
                 best, cost = shard, waits[shard] + charge
@@ -296,7 +299,7 @@
         return best
 
     def _find_recent_shards(self, key: str, now: float) -> list[int]:
-        """Return the shards to which this router has sent a part lately."""
+        """Return the shards to which this router has recently sent a part."""
         used = self._recent_shards.get(key, {})
         return [shard for shard, at in used.items() if now - at < RECENT_SHARD_SECONDS]
 
