--- a/celeryspan/decisions/serverhealth.py
+++ b/celeryspan/decisions/serverhealth.py
@@ -1,10 +1,10 @@
-"""How far the answers of one backend server can be trusted.
+"""Tracks failures of one backend server.
 
-Load answered: a server fails part of its requests while its health check is good, is
-dark, or refuses connections. Without this a server that fails fast looks idle and
-draws all requests. Failures in a row rest the server for a time that doubles; a share
-of failures above that of its peers makes it dearer to choose, in proportion, so that a
-service whose requests fail everywhere loses no server.
+A server may fail part of its requests while its health check succeeds, be unreachable,
+or refuse connections. Without this module a server that fails fast looks idle and
+attracts all requests. Consecutive failures put the server into a backoff that doubles
+each time. A failure rate above that of its peers raises its cost in proportion, so that
+a service whose requests fail everywhere loses no server.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 import msgspec
 
 CONSECUTIVE_FAILURES_MAX = 3
-"""Failures in a row that rest a server: by chance, with one in seven failing as some
-services do, it takes 340 requests."""
+"""Consecutive failures that start a backoff. By chance, with one in seven requests
+failing as at some services, that takes 340 requests."""
 
 BACKOFF_SECONDS = 0.5
-"""First rest; a server that restarts is back within seconds."""
+"""First backoff; a server that restarts is back within seconds."""
 
 BACKOFF_SECONDS_MAX = 4.0
 
 FAILURE_RATE_WEIGHT = 0.1
-"""Weight of the newest answer in the share of failures: about the last ten count."""
+"""Weight of the newest answer in the failure rate, which thus covers about ten."""
 
 
 class ServerHealth(msgspec.Struct):
-    """What the last answers of a server say.
+    """Health of a server, derived from its last answers.
 
     Attributes
     ----------
-    failing : float
-        Share of the last requests that failed.
+    failure_rate : float
+        Moving average of the share of requests that failed.
     """
 
     failure_rate: float = 0.0
@@ -39,13 +39,13 @@
     _backoff_until: float = float("-inf")
 
     def record_success(self) -> None:
-        """Note a good answer."""
+        """Record a successful answer."""
         self.failure_rate -= self.failure_rate * FAILURE_RATE_WEIGHT
         self._consecutive_failures = 0
         self._backoffs = 0
 
     def record_failure(self, now: float, *, unreachable: bool = False) -> None:
-        """Note a failure; one that could not even connect rests the server at once."""
+        """Record a failure; if the server was unreachable, it backs off at once."""
         self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_WEIGHT
         self._consecutive_failures += 1
         if unreachable or self._consecutive_failures >= CONSECUTIVE_FAILURES_MAX:
@@ -54,8 +54,8 @@
             self._backoffs += 1
             self._consecutive_failures = (
                 CONSECUTIVE_FAILURES_MAX - 1
-            )  # The next failure alone rests it again.
+            )  # One more failure starts the next backoff.
 
     def is_backing_off(self, now: float) -> bool:
-        """Whether the server gets no work now."""
+        """Whether the server gets no requests now."""
         return now < self._backoff_until
