--- a/celeryspan/decisions/promptcache.py
+++ b/celeryspan/decisions/promptcache.py
@@ -1,9 +1,10 @@
-"""Which parts of prompts one model engine keeps, as its pool's home believes.
+"""Estimates which prompt parts one model engine has in its prefix cache.
 
-Load answered: most of a long prompt is shared with earlier ones. A request sent to an
-engine that keeps its shared parts reads a fifth of the tokens; sent anywhere, the same
-parts are read again at every engine. The belief follows what was sent: parts of a
-prompt are kept in the order of their last use until the memory is full.
+Most of a long prompt is shared with earlier ones. A request sent to an engine that
+caches its shared parts prefills a fifth of the tokens; sent to any engine, the same
+parts are prefilled again at every engine. The home of the pool estimates the cache from
+the prompts it sent: parts are evicted in order of their last use once the memory is
+full.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 
 class PromptCache:
-    """Parts kept by one engine, the least recently used first.
+    """Estimated prefix cache of one engine, least recently used parts first.
 
     Parameters
     ----------
     capacity : int
-        Tokens that fit.
+        Size of the engine's cache, in tokens.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -30,9 +31,9 @@
         self._tokens = 0
 
     def count_cached(self, parts: Sequence[messages.PromptPart]) -> int:
-        """Return the tokens of the leading parts that are kept.
+        """Return the number of tokens in the longest cached prefix.
 
-        A part is of use only if all parts before it are kept.
+        A cached part is of use only if all parts before it are cached.
         """
         cached = 0
         for part in parts:
@@ -42,10 +43,10 @@
         return cached
 
     def count_copyable(self, parts: Sequence[messages.PromptPart], now: float) -> int:
-        """Return the tokens of the leading parts that can be copied from here now.
+        """Return the tokens of the longest prefix that other engines can copy now.
 
-        A part that is still to be read is kept for the prompts behind it in this
-        engine's line, but nobody else can have it yet.
+        A part that is still to be prefilled serves later prompts in this engine's
+        queue, but other engines can't copy it yet.
         """
         copyable = 0
         for part in parts:
@@ -55,9 +56,10 @@
         return copyable
 
     def record_use(self, parts: Sequence[messages.PromptPart], ready_at: float) -> None:
-        """Note that a prompt will have been read here at some time.
+        """Record that a prompt's prefill is done at ``ready_at``.
 
-        The last part is touched first, so that the shared ones before it stay longest.
+        The last part is marked as used first, so that the shared parts before it are
+        evicted last.
         """
         for part in reversed(parts):
             self._ready_at.setdefault(part.part, ready_at)
@@ -71,9 +73,10 @@
     def add_cached_parts(
         self, parts: Iterable[messages.PromptPart], now: float
     ) -> None:
-        """Take in what the engine itself says that it keeps.
+        """Add parts that the engine reports as cached.
 
-        What was used here since is newer; the rest may go first, as far as it fits.
+        Parts used since are more recent. The reported ones are added as the least
+        recently used, as far as they fit.
         """
         for part in parts:
             if part.part in self._parts:
@@ -86,7 +89,7 @@
             self._tokens += part.tokens
 
     def clear(self) -> None:
-        """Forget all: the engine has started anew."""
+        """Remove all parts, because the engine has restarted."""
         self._parts.clear()
         self._ready_at.clear()
         self._tokens = 0
