--- a/celeryspan/decisions/longprompts.py
+++ b/celeryspan/decisions/longprompts.py
@@ -1,15 +1,16 @@
-"""Which prompts are read at engines of their own, and how many engines that takes.
-
-Load answered: prompts of tens of thousands of tokens among streams that must not pause.
-Where reading one makes the streams beside it pause past their limit, engines are set
-apart. Where it does not, since an engine reads less in a step than the model says, such
-engines stand idle beside a queue: with six engines that read half as much in a step
-callers got 0.58 of the worth when they were set apart and 0.63 when not (less prices,
-the mean of five days with floods and crashes; emulated engines say the opposite on
-cold and heavy loads, see docs/design/decisions-under-load.md).
-
-So the pauses that streams really make beside long prompts are told by the routers at
-the end of each run, and what the model says is scaled by them.
+"""Decides which prompts are prefilled at dedicated engines, and how many these are.
+
+Prompts of tens of thousands of tokens arrive among streams that must not pause. Where
+prefilling one makes the streams beside it pause past their limit, engines are dedicated
+to long prompts. Where it doesn't, because an engine prefills less in a step than the
+model assumes, dedicated engines idle while requests queue: with six engines that
+prefill half as much in a step, callers got 0.58 of the possible value with dedicated
+engines and 0.63 without (less prices, the mean of five days with floods and crashes;
+emulated engines show the opposite on cold and heavy loads, see
+docs/design/decisions-under-load.md).
+
+Routers therefore report the pauses of streams beside long prompts at the end of each
+run, and the model's prediction is scaled by them.
 """
 
 from __future__ import annotations
@@ -19,45 +20,47 @@
 from typing import NamedTuple
 
 DEDICATED_UTILISATION = 0.6
-"""Part of the time that engines set apart shall read: one that reads all the time
-makes the next long prompt wait for as long as the one before it takes."""
+"""Target utilisation of dedicated engines. At full utilisation, a long prompt would
+wait for as long as the prefill of the one before it takes."""
 
 DEDICATED_SHARE_MAX = 0.34
-"""Part of the engines that may be set apart."""
+"""Largest share of the engines that may be dedicated."""
 
 LOAD_DECAY_SECONDS = 10.0
-"""Time over which the reading of long prompts is averaged."""
+"""Time constant over which the load of long prompts is averaged."""
 
 RETENTION_DECAYS = 5
-"""A prompt is forgotten after so many fades: it counts for less than a hundredth."""
+"""Time constants after which a prompt is dropped; it then weighs less than a hundredth.
+"""
 
 RATIO_RISE_WEIGHT = 0.3
 RATIO_FALL_WEIGHT = 0.1
-"""Part of the way that the ratio follows one pause, up and down: it settles where one
-pause in four is longer than it says, and one hiccup of a router is soon forgotten."""
+"""Weight of the newest pause in the ratio, for longer and for shorter pauses. The ratio
+settles where one pause in four is longer than predicted, and a single delay of a router
+soon loses its effect."""
 
 PRIOR_PAUSES = 5
-"""What the model's word counts for, in pauses: the first move the ratio by a sixth,
-a seventh and so on."""
+"""Weight of the model's prediction, in pauses: the first pauses move the ratio by a
+sixth, a seventh and so on."""
 
 RATIO_RANGE = (0.1, 1.5)
-"""How far pauses may differ from the model's."""
+"""Smallest and largest ratio of observed to predicted pauses."""
 
 
 class _Arrival(NamedTuple):
     at: float
     pause: float
     limit: float
-    read: float
+    prefill: float
 
 
 class LongPrompts:
-    """What is known of the long prompts of one pool.
+    """Load and pauses caused by the long prompts of one pool.
 
     Attributes
     ----------
     ratio : float
-        Pauses that streams make beside long prompts, against what the model says.
+        Pauses of streams beside long prompts, relative to the model's prediction.
     """
 
     def __init__(self) -> None:
@@ -67,34 +70,34 @@
         self._load = 0.0
 
     def is_long(self, pause: float, limit: float) -> bool:
-        """Whether streams pause too long beside a prompt.
+        """Whether prefilling a prompt makes streams pause too long.
 
         Parameters
         ----------
         pause, limit : float
-            What the model says, and what is allowed, in seconds.
+            Predicted and longest allowed pause, in seconds.
         """
         return pause * self.ratio > limit
 
     def record_arrival(
-        self, pause: float, limit: float, read: float, now: float
+        self, pause: float, limit: float, prefill: float, now: float
     ) -> None:
-        """Count a prompt, and the seconds to read it, if the model calls it long.
+        """Record a prompt and its prefill time if the model predicts too long a pause.
 
-        It counts for nothing while pauses turn out to be shorter, and again when they
-        don't any more.
+        It adds no load while observed pauses are short enough, and counts again when
+        they aren't.
         """
         if pause > limit:
-            self._arrivals.append(_Arrival(now, pause, limit, read))
+            self._arrivals.append(_Arrival(now, pause, limit, prefill))
             self.update(now)
 
     def record_pause(self, pause: float, observed: float) -> None:
-        """Take in the longest pause of a stream beside which a long prompt was read.
+        """Record the longest pause of a stream beside the prefill of a long prompt.
 
         Parameters
         ----------
-        pause, seen : float
-            What the model said, and what the caller saw, in seconds.
+        pause, observed : float
+            Predicted pause, and the one that the caller saw, in seconds.
         """
         low, high = RATIO_RANGE
         ratio = min(max(observed / pause, low), high)
@@ -104,18 +107,18 @@
         self.ratio += (ratio - self.ratio) * weight
 
     def update(self, now: float) -> None:
-        """Work out anew how much of an engine's time long prompts take."""
+        """Recompute the load of long prompts, in engines."""
         oldest = now - RETENTION_DECAYS * LOAD_DECAY_SECONDS
         while self._arrivals and self._arrivals[0].at < oldest:
             self._arrivals.popleft()
-        read = sum(
-            each.read * math.exp((each.at - now) / LOAD_DECAY_SECONDS)
+        prefill = sum(
+            each.prefill * math.exp((each.at - now) / LOAD_DECAY_SECONDS)
             for each in self._arrivals
             if self.is_long(each.pause, each.limit)
         )
-        self._load = read / LOAD_DECAY_SECONDS
+        self._load = prefill / LOAD_DECAY_SECONDS
 
     def count_dedicated(self, servers: int) -> int:
-        """Return how many of so many engines are set apart."""
+        """Return how many of ``servers`` engines are dedicated to long prompts."""
         most = math.floor(servers * DEDICATED_SHARE_MAX)
         return min(most, math.ceil(self._load / DEDICATED_UTILISATION))
