--- a/celeryspan/decisions/paces.py
+++ b/celeryspan/decisions/paces.py
@@ -1,10 +1,10 @@
-"""How fast the requests of each account get places in a pool.
+"""Measures the rate at which the requests of each account are placed in a pool.
 
-Load answered: one account floods with ten times what it is served. A queue that takes
-all of it holds a thousand requests that will be refused in the end: their callers wait
-for a refusal, and the home looks through all of them at each decision, so that it
-decides late for everybody. With the pace of an account known, what its queue can't work
-off in time is refused as it comes.
+One account may send ten times what it is served. A queue that accepts all of it holds a
+thousand requests that will be refused in the end: their callers wait for a refusal, and
+the home scans all of them at each decision, so that its decisions are late for
+everybody. With an account's placement rate known, requests that its queue can't serve
+in time are refused on arrival.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from celeryspan import ids
 
 DECAY_SECONDS = 1.0
-"""Time after which a place that was given counts for a third."""
+"""Time constant of the decay: after it, a placement counts for about a third."""
 
 COUNT_MIN = 0.01
-"""An account whose places count for less than this begins anew."""
+"""An account whose decayed count falls below this value is dropped."""
 
 
 class _DecayingCount(msgspec.Struct):
@@ -33,13 +33,13 @@
 
 
 class PlacementRates:
-    """Places given to each account, fading with time."""
+    """Decaying count of placements per account."""
 
     def __init__(self) -> None:
         self._counts: dict[ids.AccountId, _DecayingCount] = {}
 
     def record(self, account: ids.AccountId, now: float) -> None:
-        """Count a place given to an account."""
+        """Count a placement."""
         entry = self._counts.get(account)
         if entry is None:
             entry = self._counts[account] = _DecayingCount(now, now)
@@ -47,7 +47,7 @@
         entry.count += 1.0
 
     def measure(self, account: ids.AccountId, now: float) -> float:
-        """Return places a second that an account gets; 0 if it got none of late."""
+        """Return the placements per second of an account; 0 if it had none recently."""
         entry = self._counts.get(account)
         if entry is None:
             return 0.0
@@ -55,6 +55,7 @@
         if entry.count < COUNT_MIN:
             del self._counts[account]
             return 0.0
-        # What has gone on for less than the fade is not a low pace, but a young one.
+        # The count hasn't reached its steady state if the account is newer than the
+        # decay time; without the correction its rate would be underestimated.
         age = 1.0 - math.exp(-(now - entry.since) / DECAY_SECONDS)
         return entry.count / (DECAY_SECONDS * max(age, 1.0 / entry.count))
