--- a/celeryspan/decisions/accountshares.py
+++ b/celeryspan/decisions/accountshares.py
@@ -1,17 +1,19 @@
-"""How much service each client account of a service has begun to get lately.
-
-Load answered: one account sends many times its usual while others wait. Without the
-order that follows from these shares the flood takes every place as it becomes free.
-The account that has begun least goes first, which gives all that wait the same share
-(max-min); what an account didn't ask for is not saved up, since shares fade.
-
-A large pool has several homes, and an account whose prompts all belong to one shard
-would get a share of that shard only, while one that asks everywhere gets one in each.
-So the homes add up what their shards have begun: in each dimension of a hypercube a
-home tells the one partner whose number differs in that bit what it knows from lower
-dimensions. With ``n`` shards each home sends ``log2(n)`` sums a round, and after as
-many rounds each knows the total; to tell all homes of 1,000 shards would take as many
-messages from each. What a dead partner said fades like everything else.
+"""Tracks the service that each client account has recently received.
+
+One account may send many times its usual load while others wait. Without the order
+derived from these shares the flood takes every slot that becomes free. The account that
+has received the least goes first, which gives equal shares to all that have requests
+waiting (max-min fairness). Service that an account didn't request isn't saved up for
+later, because shares decay.
+
+A large pool has several homes. Without an exchange between them, an account whose
+prompts all belong to one shard would get a share of that shard only, while an account
+with prompts everywhere would get one in each. The homes therefore sum up their shares
+over a hypercube: in each dimension a home sends its sum of the lower dimensions to the
+partner whose shard number differs in that bit. With ``n`` shards each home sends
+``log2(n)`` sums a round, and after as many rounds each home knows the total; sending to
+all homes of 1,000 shards would take as many messages from each. The last sums from a
+dead partner decay like all others.
 """
 
 from __future__ import annotations
@@ -22,45 +24,46 @@
 from celeryspan import ids
 
 DECAY_SECONDS = 3.0
-"""Time after which a third of a share counts: fairness is promised over six seconds,
-and the share of a window that long must not hang on what was before it."""
+"""Time constant of the decay: after it, a share counts for about a third. Fairness is
+guaranteed over windows of six seconds, and the shares of a window must not depend on
+earlier ones."""
 
 UNITS_MIN = 0.01
-"""A share below this many units is dropped, so that the table stays small."""
+"""Shares below this value are dropped, so that the table stays small."""
 
 REBASE_SECONDS = 30.0
-"""Older shares are made smaller only this often: fading all accounts at each request
-took as long as the rest of a decision with some hundred of them. Until then new ones
-are made larger, by at most ``exp(10)``."""
+"""Interval between rescalings of the stored shares. Decaying all accounts at each
+request took as long as the rest of a decision for a few hundred of them. Between
+rescalings, new units are scaled up instead, by at most ``exp(10)``."""
 
 Units = dict[ids.AccountId, float]
 
 
 class AccountShares:
-    """Units of service begun by each account, fading with time."""
+    """Decaying units of service per account."""
 
     def __init__(self) -> None:
-        # All values are as of ``_base``: a unit begun later counts for more than one.
+        # Values are as of ``_reference_time``; later units are stored scaled up.
         self._own: Units = {}
         self._received: dict[int, Units] = {}
         self._reference_time = 0.0
 
     def charge(self, account: ids.AccountId, units: float, now: float) -> None:
-        """Count service that begins now in this shard."""
+        """Record service that starts now in this shard."""
         weight = self._current_weight(now)
         self._own[account] = self._own.get(account, 0.0) + units * weight
 
     def receive(
         self, dimension: int, units: Mapping[ids.AccountId, float], now: float
     ) -> None:
-        """Take in what the partner in a dimension knows; replaces what it said."""
+        """Replace the sums received from the partner in a dimension."""
         weight = self._current_weight(now)
         self._received[dimension] = {
             account: value * weight for account, value in units.items()
         }
 
     def sum_units(self, dimension: int, now: float) -> Units:
-        """Return what the partner in a dimension is to be told."""
+        """Return the sums to send to the partner in a dimension."""
         weight = self._current_weight(now)
         total = dict(self._own)
         for lower in range(dimension):
@@ -73,16 +76,16 @@
         }
 
     def level(self, account: ids.AccountId) -> float:
-        """Return what an account got in all shards, to be compared with others."""
+        """Return a scaled sum over all shards, comparable between accounts only."""
         heard = (units.get(account, 0.0) for units in self._received.values())
         return self._own.get(account, 0.0) + sum(heard)
 
     def measure(self, account: ids.AccountId, now: float) -> float:
-        """Return what an account got in all shards of late, in units as of now."""
+        """Return the decayed units of an account over all shards, as of now."""
         return self.level(account) / self._current_weight(now)
 
     def _current_weight(self, now: float) -> float:
-        """Return what a unit that begins now counts for."""
+        """Return the weight of a unit that starts now."""
         if now - self._reference_time > REBASE_SECONDS:
             factor = math.exp(-(now - self._reference_time) / DECAY_SECONDS)
             self._reference_time = now
