--- a/tests/decisions/test_placing.py
+++ b/tests/decisions/test_placing.py
@@ -1,4 +1,4 @@
-"""What the ledger believes of one server, and when it forgets it."""
+"""State that a pool keeps of one server, and when it is discarded."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_ask(request: str) -> messages.SlotRequest:
-    """Return a request of which most is shared with others."""
+    """Return a request whose prompt is mostly shared with others."""
     parts = (
         messages.PromptPart("shared", 5_000),
         messages.PromptPart(f"own-{request}", 500),
@@ -50,71 +50,72 @@
     )
 
 
-def take(pool: placing.Placer, request: str, now: float) -> poolservers.Run:
-    """Place a request at the one engine there is."""
-    return pool.start_run(make_ask(request), ROUTER, SERVER, now + 10.0, now)
+def start_run(placer: placing.Placer, request: str, now: float) -> poolservers.Run:
+    """Place a request at the only engine."""
+    return placer.start_run(make_ask(request), ROUTER, SERVER, now + 10.0, now)
 
 
-def test_engine_that_started_again_keeps_nothing_and_runs_nothing() -> None:
-    """An engine crashes and starts again under its id before its entry lapses.
+def test_restarted_engine_has_empty_cache_and_no_runs() -> None:
+    """Guards against stale runs and cache after a crash.
 
-    Its runs are gone and its memory is empty. With the old belief its places stay
-    taken until timeouts, and prompts go there as if their shared parts were kept.
+    An engine crashes and restarts under the same id before its entry expires. With the
+    old state its slots would stay in use until timeouts, and prompts would be sent
+    there as if their shared parts were cached.
     """
-    pool = placing.Placer()
-    pool.set_servers([make_entry(1_000)], ENGINE)
-    assert take(pool, "r1", 1.0).cached_tokens == 0
-    assert take(pool, "r2", 2.0).cached_tokens == 5_000
-    assert not pool.has_capacity(False, 2.0)
-    pool.set_servers([make_entry(2_000)], ENGINE)
-    assert pool.count_runs() == 0
-    assert take(pool, "r3", 3.0).cached_tokens == 0
+    placer = placing.Placer()
+    placer.set_servers([make_entry(1_000)], ENGINE)
+    assert start_run(placer, "r1", 1.0).cached_tokens == 0
+    assert start_run(placer, "r2", 2.0).cached_tokens == 5_000
+    assert not placer.has_capacity(False, 2.0)
+    placer.set_servers([make_entry(2_000)], ENGINE)
+    assert placer.count_runs() == 0
+    assert start_run(placer, "r3", 3.0).cached_tokens == 0
 
 
-def test_late_end_of_a_run_of_the_earlier_incarnation_changes_nothing() -> None:
-    """A router tells of the end of a run after the engine has started again.
+def test_late_run_end_of_an_earlier_incarnation_is_ignored() -> None:
+    """Guards against run ends that are reported after the engine has restarted.
 
-    Counted for the new incarnation, it would free a place that is taken, or rest an
-    engine that has failed nobody.
+    Applied to the new incarnation, such an end would free a slot that is in use, or
+    start a backoff of an engine that has failed no request.
     """
-    pool = placing.Placer()
-    pool.set_servers([make_entry(1_000)], ENGINE)
-    take(pool, "r1", 1.0)
-    pool.set_servers([make_entry(2_000)], ENGINE)
-    take(pool, "r2", 2.0)
-    pool.begin(ids.RequestId("r2"), SERVER, 2.2)
+    placer = placing.Placer()
+    placer.set_servers([make_entry(1_000)], ENGINE)
+    start_run(placer, "r1", 1.0)
+    placer.set_servers([make_entry(2_000)], ENGINE)
+    start_run(placer, "r2", 2.0)
+    placer.begin(ids.RequestId("r2"), SERVER, 2.2)
     for ending in states.RunEnding:
-        pool.end(ids.RequestId("r1"), SERVER, ending, 2.5)
-    assert pool.count_runs() == 1
-    assert pool.has_capacity(False, 2.6)
+        placer.end(ids.RequestId("r1"), SERVER, ending, 2.5)
+    assert placer.count_runs() == 1
+    assert placer.has_capacity(False, 2.6)
 
 
-def test_entry_that_changes_without_a_restart_keeps_what_is_known() -> None:
-    pool = placing.Placer()
-    pool.set_servers([make_entry(1_000)], ENGINE)
-    take(pool, "r1", 1.0)
+def test_entry_change_without_restart_keeps_state() -> None:
+    placer = placing.Placer()
+    placer.set_servers([make_entry(1_000)], ENGINE)
+    start_run(placer, "r1", 1.0)
     again = msgspec.structs.replace(make_entry(1_000), revision=9)
-    pool.set_servers([again], ENGINE)
-    assert pool.count_runs() == 1
-    pool.set_servers([make_entry(None)], ENGINE)
-    assert take(pool, "r2", 2.0).cached_tokens == 5_000
-
-
-def test_engine_is_asked_once_for_what_it_keeps_and_its_answer_counts() -> None:
-    """A home takes a pool over; without the answer all shared parts are read again."""
-    pool = placing.Placer()
-    pool.set_servers([make_entry(1_000)], ENGINE)
-    (asked,) = pool.pop_unqueried()
-    assert pool.pop_unqueried() == []
-    pool.add_cached_parts(asked, [messages.PromptPart("shared", 5_000)], 1.0)
-    assert take(pool, "r1", 2.0).cached_tokens == 5_000
-
-
-def test_answer_of_an_earlier_incarnation_counts_for_nothing() -> None:
-    pool = placing.Placer()
-    pool.set_servers([make_entry(1_000)], ENGINE)
-    (asked,) = pool.pop_unqueried()
-    pool.set_servers([make_entry(2_000)], ENGINE)
-    pool.add_cached_parts(asked, [messages.PromptPart("shared", 5_000)], 1.0)
-    assert take(pool, "r1", 2.0).cached_tokens == 0
-    assert [entry.started_ms for entry in pool.pop_unqueried()] == [2_000]
+    placer.set_servers([again], ENGINE)
+    assert placer.count_runs() == 1
+    placer.set_servers([make_entry(None)], ENGINE)
+    assert start_run(placer, "r2", 2.0).cached_tokens == 5_000
+
+
+def test_engine_is_queried_once_and_reported_parts_are_cached() -> None:
+    """Guards against prefilling all shared parts again when a pool changes homes."""
+    placer = placing.Placer()
+    placer.set_servers([make_entry(1_000)], ENGINE)
+    (asked,) = placer.pop_unqueried()
+    assert placer.pop_unqueried() == []
+    placer.add_cached_parts(asked, [messages.PromptPart("shared", 5_000)], 1.0)
+    assert start_run(placer, "r1", 2.0).cached_tokens == 5_000
+
+
+def test_report_of_an_earlier_incarnation_is_ignored() -> None:
+    placer = placing.Placer()
+    placer.set_servers([make_entry(1_000)], ENGINE)
+    (asked,) = placer.pop_unqueried()
+    placer.set_servers([make_entry(2_000)], ENGINE)
+    placer.add_cached_parts(asked, [messages.PromptPart("shared", 5_000)], 1.0)
+    assert start_run(placer, "r1", 2.0).cached_tokens == 0
+    assert [entry.started_ms for entry in placer.pop_unqueried()] == [2_000]
