--- a/tests/decisions/test_pools.py
+++ b/tests/decisions/test_pools.py
@@ -1,7 +1,7 @@
-"""Loads played to the home of a pool, and what callers get.
+"""Plays loads to the home of a pool and checks what callers get.
 
 The engines are those of :mod:`bench.engines`: a virtual clock, steps, chunks and a
-cache, so that each case takes a second and has the same result every time.
+cache, so that each case takes a second and gives the same result every time.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 def play(
-    parts: list[loads.Load], *, seconds: float = 12.0, place: site.Site = SITE
+    parts: list[loads.Load], *, seconds: float = 12.0, deployment: site.Site = SITE
 ) -> trial.Result:
-    """Play some loads at once with fixed seeds."""
+    """Play several loads at once with fixed seeds."""
     asked = loads.merge(parts, seconds, random.Random(7))
-    return trial.play(place, asked, seed=7)
+    return trial.play(deployment, asked, seed=7)
 
 
 def make_notes(rate: float, **values: object) -> loads.Load:
-    """Return short prompts of many subjects."""
+    """Return short prompts about many subjects."""
     return loads.Load(
         name="notes",
         rate=rate,
@@ -44,7 +44,7 @@
 
 
 def make_plans(rate: float, **values: object) -> loads.Load:
-    """Return long prompts of which the most is shared."""
+    """Return long prompts that are mostly shared."""
     return loads.Load(
         name="plans",
         rate=rate,
@@ -60,7 +60,7 @@
     )
 
 
-def test_calm_load_is_in_time() -> None:
+def test_light_load_is_in_time() -> None:
     result = play([make_notes(20), make_plans(6)])
     assert result.share_in_time("notes") >= 0.97
     assert result.share_in_time("plans") >= 0.85
@@ -68,10 +68,10 @@
 
 
 def test_long_prompts_do_not_make_short_streams_pause() -> None:
-    """Prompts of forty thousand tokens come among drafts that stream.
+    """Prompts of 40,000 tokens arrive among short streams.
 
-    Each one, read beside running streams, makes all of them pause for longer than they
-    may; one in five drafts is late though the engines are half idle.
+    Each of them, prefilled beside running streams, makes all of these pause for longer
+    than they may: one in five notes is late although the engines are half idle.
     """
     long = make_plans(0.8, own_fixed=40_000)
     result = play([make_notes(20), long])
@@ -79,10 +79,10 @@
     assert result.share_served("plans") >= 0.9
 
 
-def test_flood_of_one_account_leaves_the_others_in_time() -> None:
-    """One account sends ten times what it usually does; the others what they always do.
+def test_flood_of_one_account_does_not_delay_others() -> None:
+    """One account sends ten times its usual load, the others their usual one.
 
-    Without shares each request waits behind the flood, and all accounts are late.
+    Without fair shares each request waits behind the flood, and all accounts are late.
     """
     usual = make_notes(24, accounts=tuple(f"a{number}" for number in range(8)))
     flood = make_plans(60, accounts=("flood",))
@@ -91,28 +91,28 @@
     assert result.share_served("plans") > 0.1
 
 
-def test_hot_part_is_spread_and_not_read_everywhere() -> None:
-    """A third of all drafts are suddenly about one subject.
+def test_hot_part_is_spread_over_few_engines() -> None:
+    """A third of all prompts are suddenly about one subject.
 
-    Sent to the one engine that keeps it, they wait for each other; sent anywhere, each
-    engine reads the subject again.
+    If all of them go to the one engine that caches it, they wait for each other; if
+    they go anywhere, each engine prefills the subject again.
     """
     result = play([make_notes(40, hot_share=0.6), make_plans(6)])
     assert result.share_in_time("notes") >= 0.95
     assert result.read_again <= 0.1 * result.read
 
 
-def test_shared_parts_are_seldom_read_again() -> None:
+def test_shared_parts_are_rarely_prefilled_again() -> None:
     result = play([make_plans(10)], seconds=20.0)
     assert result.read_again <= 0.12 * result.read
 
 
 @pytest.mark.parametrize("times", [2, 4])
-def test_overload_refuses_early_and_serves_what_it_can(times: int) -> None:
-    """More comes than the engines can read, for as long as it lasts.
+def test_overload_is_refused_early_at_high_utilisation(times: int) -> None:
+    """More arrives than the engines can prefill, for the whole time.
 
-    A queue in which all wait alike makes every answer late, and callers leave without
-    one: capacity is used up for nothing.
+    In a queue where all requests wait equally long, every answer is late, and callers
+    leave without one: capacity is used for nothing.
     """
     result = play([make_plans(110 * times)])
     assert result.use >= 0.85
@@ -120,48 +120,49 @@
     assert result.gave_up == 0
 
 
-def test_slow_engine_gets_less() -> None:
-    """One engine turns four times as slow while its reports look well."""
-    place = site.Site(
+def test_slow_engine_gets_fewer_requests() -> None:
+    """One engine becomes four times as slow while its reports look normal."""
+    deployment = site.Site(
         engines=6, slots=32, memory_tokens=600_000, stride=6, slow={0: 4.0}
     )
-    result = play([make_notes(250)], place=place)
+    result = play([make_notes(250)], deployment=deployment)
     slow, *others = result.runs_by_engine
     assert slow < 0.5 * sum(others) / len(others)
     assert result.share_in_time("notes") >= 0.9
 
 
-def test_burst_is_worked_off() -> None:
+def test_burst_is_served() -> None:
     burst = make_notes(400, begins=4.0, ends=5.0)
     result = play([make_notes(20), burst])
     assert result.share_served("notes") >= 0.9
     assert result.refused <= 0.1 * result.asked
 
 
-def test_accounts_that_wait_get_equal_service() -> None:
-    """Two accounts ask for far more than there is, one for three times as much.
+def test_waiting_accounts_get_equal_service() -> None:
+    """Two accounts send far more than can be served, one three times as much.
 
-    Who asks more must not get more: both have work waiting all the time.
+    Both have requests waiting all the time, so the one that sends more must not get
+    more.
     """
     result = play(
         [
-            make_plans(120, accounts=("loud",), subjects_from=0),
-            make_plans(40, accounts=("quiet",), subjects_from=1000),
+            make_plans(120, accounts=("heavy",), subjects_from=0),
+            make_plans(40, accounts=("light",), subjects_from=1000),
         ],
         seconds=16.0,
     )
-    loud = result.tokens_by_account[ids.AccountId("loud")]
-    quiet = result.tokens_by_account[ids.AccountId("quiet")]
-    assert 0.75 <= quiet / loud <= 1.34
+    heavy = result.tokens_by_account[ids.AccountId("heavy")]
+    light = result.tokens_by_account[ids.AccountId("light")]
+    assert 0.75 <= light / heavy <= 1.34
 
 
-def test_flood_is_refused_as_it_comes_and_costs_others_nothing(monkeypatch) -> None:
-    """Guards against a queue of requests that will be refused in the end."""
+def test_flood_is_refused_on_arrival_without_cost_to_others(monkeypatch) -> None:
+    """Guards against a queue full of requests that will be refused in the end."""
     asked = [
         make_notes(1500, accounts=("flood",)),
-        make_notes(100, accounts=("calm",), subjects_from=1000),
+        make_notes(100, accounts=("steady",), subjects_from=1000),
     ]
-    place = dataclasses.replace(SITE, engines=2)
+    deployment = dataclasses.replace(SITE, engines=2)
     most = 0
     tick = pools.Pool.tick
 
@@ -171,58 +172,58 @@
         return tick(pool, now)
 
     monkeypatch.setattr(pools.Pool, "tick", watch)
-    found = play(asked, seconds=6.0, place=place)
+    found = play(asked, seconds=6.0, deployment=deployment)
     bounded, most = most, 0
     monkeypatch.setattr(pools.Pool, "_exceeds_queue_limit", lambda *_: False)
-    unbounded = play(asked, seconds=6.0, place=place)
+    unbounded = play(asked, seconds=6.0, deployment=deployment)
     assert bounded <= 0.5 * most
-    for account, least in (("calm", 0.97), ("flood", 0.85)):
+    for account, least in (("steady", 0.97), ("flood", 0.85)):
         got = found.tokens_by_account[ids.AccountId(account)]
         assert got >= least * unbounded.tokens_by_account[ids.AccountId(account)]
 
 
-def test_requests_wait_while_no_server_is_known_yet() -> None:
-    """Guards against refusals by a home that has not heard of its servers."""
+def test_requests_wait_until_servers_are_known() -> None:
+    """Guards against refusals by a home that hasn't received its list of servers."""
     pool = pools.Pool(ids.PoolId("engines#1#0"), random.Random(7))
     asked = loads.merge([make_notes(100)], 1.0, random.Random(7))
     assert not any(pool.ask(trial.ROUTER, each.ask, 0.0) for each in asked)
     assert pool.count_waiting() == len(asked)
 
 
-def test_account_whose_requests_come_late_gets_its_share() -> None:
-    """Guards against accounts that starve since their router has little time."""
+def test_account_with_late_requests_gets_its_share() -> None:
+    """Guards against starvation of accounts whose router is overloaded."""
     result = play(
         [
-            make_plans(120, accounts=("loud",), subjects_from=0),
-            make_plans(40, accounts=("held",), subjects_from=1000, held=0.5),
+            make_plans(120, accounts=("heavy",), subjects_from=0),
+            make_plans(40, accounts=("delayed",), subjects_from=1000, held=0.5),
         ],
         seconds=16.0,
     )
-    loud = result.tokens_by_account[ids.AccountId("loud")]
-    held = result.tokens_by_account[ids.AccountId("held")]
-    assert held >= 0.5 * loud
+    heavy = result.tokens_by_account[ids.AccountId("heavy")]
+    delayed = result.tokens_by_account[ids.AccountId("delayed")]
+    assert delayed >= 0.5 * heavy
 
 
-def test_kept_parts_are_copied_rather_than_read_again() -> None:
-    """More comes than the engines can read, and no engine is always free.
+def test_cached_parts_are_copied_instead_of_prefilled() -> None:
+    """More arrives than the engines can prefill, and no engine is always free.
 
-    Each time that the one which keeps a subject is full, another one reads it again:
-    a seventh of all reading when engines do not copy from each other.
+    Each time the engine that caches a subject is full, another one prefills it again: a
+    seventh of all prefill when engines don't copy from each other.
     """
-    roomy = dataclasses.replace(SITE, memory_tokens=2_000_000)
-    copying = dataclasses.replace(roomy, fetches=True)
-    alone = play([make_plans(60)], place=roomy)
-    result = play([make_plans(60)], place=copying)
+    large_memory = dataclasses.replace(SITE, memory_tokens=2_000_000)
+    copying = dataclasses.replace(large_memory, fetches=True)
+    alone = play([make_plans(60)], deployment=large_memory)
+    result = play([make_plans(60)], deployment=copying)
     assert result.read_again <= 0.4 * alone.read_again
     assert result.share_in_time("plans") >= alone.share_in_time("plans")
 
 
-def test_moved_runs_leave_reading_engines_free_of_streams() -> None:
-    """Long prompts come one after the other, each read where the last one streams."""
+def test_migration_keeps_streams_off_dedicated_engines() -> None:
+    """Long prompts follow each other, each prefilled beside the stream of the last."""
     moving = dataclasses.replace(SITE, moves=True)
     long = make_plans(2.0, own_fixed=40_000)
     alone = play([make_notes(20), long])
-    result = play([make_notes(20), long], place=moving)
+    result = play([make_notes(20), long], deployment=moving)
     assert alone.late_by_pause("plans") >= 0.3
     assert result.late_by_pause("plans") <= 0.1
     assert result.late_by_pause("notes") <= alone.late_by_pause("notes") + 0.01
@@ -239,11 +240,11 @@
     step_run_seconds=0.00012,
     fetches=True,
 )
-"""Engines that take 2.3 times as long to read as those of the model."""
+"""Engines whose prefill takes 2.3 times as long as the model's."""
 
 
 def make_sheets(rate: float) -> loads.Load:
-    """Return prompts of 17,000 tokens of which the most is shared."""
+    """Return prompts of 17,000 tokens that are mostly shared."""
     return loads.Load(
         name="sheets",
         rate=rate,
@@ -261,27 +262,27 @@
 SEEDS = range(7, 11)
 
 NOISE = 0.03
-"""Shares in time that differ by less on the mean of the seeds are alike."""
+"""Mean shares in time over the seeds that differ by less are considered equal."""
 
 
 def measure_means(
-    parts: list[loads.Load], place: site.Site, *kinds: str
+    parts: list[loads.Load], deployment: site.Site, *kinds: str
 ) -> list[float]:
-    """Return the part of each kind that was answered on time, over several seeds."""
+    """Return the share of each kind answered in time, averaged over several seeds."""
     results = []
     for seed in SEEDS:
         asked = loads.merge(parts, 12.0, random.Random(seed))
-        results.append(trial.play(place, asked, seed=seed))
+        results.append(trial.play(deployment, asked, seed=seed))
     return [
         sum(result.share_in_time(kind) for result in results) / len(results)
         for kind in kinds
     ]
 
 
-def test_engines_of_another_kind_are_soon_taken_for_as_slow_as_they_are(
+def test_slowdown_of_another_engine_kind_is_learned_quickly(
     monkeypatch,
 ) -> None:
-    """Guards against engines that are each sent twice what they can read in time."""
+    """Guards against sending engines twice what they can prefill in time."""
     parts = [make_sheets(24.0), make_notes(40.0)]
     sheets, notes = measure_means(parts, SLOW_READERS, "sheets", "notes")
     monkeypatch.setattr(placing.Placer, "_share_slowdown", lambda self: None)
@@ -291,18 +292,19 @@
     assert notes > before[1] - NOISE
 
 
-def test_prompts_wait_for_their_keeper_rather_than_have_it_all_copied(
+def test_prompts_wait_for_cached_parts_instead_of_copying(
     monkeypatch,
 ) -> None:
-    """Half of all prompts go beside their keeper, and their parts are copied along.
+    """Guards against sending half of all prompts away from the engine that caches them.
 
-    Copies fill the memory of other engines: 1.31 million tokens are copied in 12 s and
-    0.60 of the sheets are in time, against 1.01 million and 0.65.
+    Their parts are then copied, and the copies fill the memory of other engines: 1.31
+    million tokens are copied in 12 s and 0.60 of the sheets are in time, against 1.01
+    million and 0.65.
     """
     parts = [make_sheets(24.0), make_notes(40.0)]
-    found = play(parts, place=SLOW_READERS)
+    found = play(parts, deployment=SLOW_READERS)
     monkeypatch.setattr(placing, "COPY_WEIGHT", 3.0)
-    before = play(parts, place=SLOW_READERS)
+    before = play(parts, deployment=SLOW_READERS)
     assert found.fetched_tokens < 0.85 * before.fetched_tokens
     assert found.share_in_time("sheets") > before.share_in_time("sheets") + 0.03
     assert found.refused < before.refused
