--- a/tests/decisions/test_longprompts.py
+++ b/tests/decisions/test_longprompts.py
@@ -1,4 +1,4 @@
-"""When long prompts get engines of their own."""
+"""When engines are dedicated to long prompts."""
 
 from __future__ import annotations
 
@@ -8,56 +8,57 @@
 
 
 def make_long(count: int = 10) -> longprompts.LongPrompts:
-    """Return what is known after some prompts that the model calls long."""
-    found = longprompts.LongPrompts()
+    """Return the state after some prompts that the model considers long."""
+    prompts = longprompts.LongPrompts()
     for number in range(count):
-        found.record_arrival(0.4, LIMIT, 0.5, number * 0.1)
-    return found
+        prompts.record_arrival(0.4, LIMIT, 0.5, number * 0.1)
+    return prompts
 
 
-def test_engines_are_set_apart_while_the_model_is_believed() -> None:
-    found = make_long()
-    assert found.is_long(0.4, LIMIT)
-    assert found.count_dedicated(6) == 1
+def test_engines_are_dedicated_without_observed_pauses() -> None:
+    prompts = make_long()
+    assert prompts.is_long(0.4, LIMIT)
+    assert prompts.count_dedicated(6) == 1
     assert longprompts.LongPrompts().count_dedicated(6) == 0
 
 
-def test_engines_that_pause_less_than_the_model_says_are_not_set_apart() -> None:
-    """Engines of another kind read less in a step, and no stream beside them pauses.
+def test_engines_with_short_pauses_are_not_dedicated() -> None:
+    """Guards against dedicated engines that idle while requests queue.
 
-    A third of them stands idle beside a queue, for prompts that disturb nobody.
+    Engines of another kind prefill less in a step, so that no stream beside them
+    pauses. A third of them would be dedicated to prompts that delay no stream.
     """
-    found = make_long()
+    prompts = make_long()
     for _ in range(12):
-        found.record_pause(0.4, 0.16)
-    found.update(1.0)
-    assert not found.is_long(0.4, LIMIT)
-    assert found.count_dedicated(6) == 0
+        prompts.record_pause(0.4, 0.16)
+    prompts.update(1.0)
+    assert not prompts.is_long(0.4, LIMIT)
+    assert prompts.count_dedicated(6) == 0
 
 
-def test_engines_are_set_apart_again_when_streams_pause() -> None:
-    found = make_long()
+def test_engines_are_dedicated_again_when_streams_pause() -> None:
+    prompts = make_long()
     for _ in range(12):
-        found.record_pause(0.4, 0.16)
+        prompts.record_pause(0.4, 0.16)
     for _ in range(4):
-        found.record_pause(0.4, 0.42)
-    found.update(1.0)
-    assert found.count_dedicated(6) == 1
+        prompts.record_pause(0.4, 0.42)
+    prompts.update(1.0)
+    assert prompts.count_dedicated(6) == 1
 
 
-def test_one_hiccup_sets_nothing_apart() -> None:
-    """A router is held up once for a second, and tells of a pause that was its own."""
-    found = make_long()
+def test_single_outlier_dedicates_no_engine() -> None:
+    """A router is blocked for a second once and reports a pause that it has caused."""
+    prompts = make_long()
     for _ in range(40):
-        found.record_pause(0.4, 0.16)
-    found.record_pause(0.4, 1.2)
+        prompts.record_pause(0.4, 0.16)
+    prompts.record_pause(0.4, 1.2)
     for _ in range(2):
-        found.record_pause(0.4, 0.16)
-    found.update(1.0)
-    assert not found.is_long(0.4, LIMIT)
+        prompts.record_pause(0.4, 0.16)
+    prompts.update(1.0)
+    assert not prompts.is_long(0.4, LIMIT)
 
 
-def test_prompts_of_long_ago_count_for_nothing() -> None:
-    found = make_long()
-    found.update(100.0)
-    assert found.count_dedicated(6) == 0
+def test_old_prompts_are_dropped() -> None:
+    prompts = make_long()
+    prompts.update(100.0)
+    assert prompts.count_dedicated(6) == 0
