--- a/tests/decisions/test_promptcache.py
+++ b/tests/decisions/test_promptcache.py
@@ -1,4 +1,4 @@
-"""What a home believes one engine to keep."""
+"""The estimated prefix cache of one engine."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def make_parts(**tokens: int) -> list[messages.PromptPart]:
-    """Return parts of so many tokens."""
+    """Return parts with the given numbers of tokens."""
     return [messages.PromptPart(name, count) for name, count in tokens.items()]
 
 
-def test_list_of_the_engine_adds_to_what_is_known_and_goes_first() -> None:
+def test_reported_parts_are_added_and_evicted_first() -> None:
     cache = promptcache.PromptCache(1_000)
     cache.record_use(make_parts(a=400, b=200), ready_at=5.0)
     cache.add_cached_parts(make_parts(a=400, c=300), now=1.0)
@@ -23,7 +23,7 @@
     assert cache.count_cached(make_parts(a=400, b=200)) == 600
 
 
-def test_list_that_is_longer_than_the_memory_pushes_nothing_out() -> None:
+def test_reported_parts_beyond_capacity_evict_nothing() -> None:
     cache = promptcache.PromptCache(1_000)
     cache.record_use(make_parts(a=800), ready_at=0.0)
     cache.add_cached_parts(make_parts(b=300), now=1.0)
