--- a/tests/decisions/test_accountshares.py
+++ b/tests/decisions/test_accountshares.py
@@ -1,4 +1,4 @@
-"""Homes of several shards add up what accounts got, and it fades."""
+"""Homes of several shards sum up the units of accounts, and the units decay."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from celeryspan.decisions import accountshares
 
 
-def test_units_add_up_and_fade() -> None:
+def test_units_add_up_and_decay() -> None:
     shares = accountshares.AccountShares()
     shares.charge("a", 100.0, 10.0)
     shares.charge("b", 100.0, 10.0 + accountshares.DECAY_SECONDS)
@@ -18,7 +18,7 @@
     assert shares.level("a") > shares.level("b")
 
 
-def test_order_outlasts_the_rebase() -> None:
+def test_order_is_kept_when_shares_are_rescaled() -> None:
     shares = accountshares.AccountShares()
     for second in range(100):
         shares.charge("a", 20.0, float(second))
@@ -27,7 +27,7 @@
     assert shares.sum_units(0, 99.0)["b"] == pytest.approx(35.3, abs=0.1)
 
 
-def test_forgotten_accounts_take_no_room() -> None:
+def test_decayed_accounts_are_dropped() -> None:
     shares = accountshares.AccountShares()
     for number in range(1000):
         shares.charge(f"a{number}", 10.0, float(number))
@@ -36,8 +36,8 @@
 
 
 @pytest.mark.parametrize("count", [2, 4, 8, 16])
-def test_all_shards_come_to_know_the_total(count: int) -> None:
-    """Each shard tells one partner in each dimension, in any order."""
+def test_all_shards_learn_the_total(count: int) -> None:
+    """Each shard sends to one partner per dimension, in random order."""
     shards = [accountshares.AccountShares() for _ in range(count)]
     for number, shard in enumerate(shards):
         shard.charge("a", 10.0 + number, 1.0)
@@ -54,7 +54,7 @@
     assert levels == pytest.approx([total] * count)
 
 
-def test_what_a_dead_home_said_fades() -> None:
+def test_sums_of_a_dead_home_decay() -> None:
     shares = accountshares.AccountShares()
     shares.receive(0, {"a": 1000.0}, 0.0)
     shares.charge("b", 10.0, 20.0)
