--- a/tests/decisions/test_smallvms.py
+++ b/tests/decisions/test_smallvms.py
@@ -1,4 +1,4 @@
-"""Loads played to routers with little processor time, and what accounts get."""
+"""Plays loads to routers with little processor time and checks what accounts get."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from celeryspan.decisions import homes
 from tests.decisions import test_pools
 
-SMALL, STRONG = 0.5, 2.0
-LOUD, HELD = ids.AccountId("loud"), ids.AccountId("held")
+SMALL_CORES, LARGE_CORES = 0.5, 2.0
+FLOOD, BEHIND_SMALL_VM = ids.AccountId("flood"), ids.AccountId("behind-small-vm")
 ROUTERS = [ids.RouterId(f"edge-{number}") for number in range(8)]
 
-HASHED = homes.find_home(ids.ServerId("engines"), ROUTERS)
-"""The router that a hash of names alone makes home of the pool."""
+HASHED_HOME = homes.find_home(ids.ServerId("engines"), ROUTERS)
+"""The router that a hash of the names alone selects as home of the pool."""
 
 SITE = dataclasses.replace(test_pools.SITE, engines=2)
 
 
 def play() -> trial.Result:
-    """Play two floods, the callers of one of them behind the hashed home."""
-    cores = dict.fromkeys(ROUTERS, SMALL)
-    strong = [router for router in ROUTERS if router != HASHED][:2]
-    cores.update(dict.fromkeys(strong, STRONG))
+    """Play two floods; the callers of one of them use the hashed home's router."""
+    cores = dict.fromkeys(ROUTERS, SMALL_CORES)
+    large = [router for router in ROUTERS if router != HASHED_HOME][:2]
+    cores.update(dict.fromkeys(large, LARGE_CORES))
     parts = [
-        test_pools.make_notes(400, accounts=(LOUD,)),
-        test_pools.make_notes(150, accounts=(HELD,), subjects_from=1000),
+        test_pools.make_notes(400, accounts=(FLOOD,)),
+        test_pools.make_notes(150, accounts=(BEHIND_SMALL_VM,), subjects_from=1000),
     ]
     asked = loads.merge(parts, 8.0, random.Random(7))
-    routers = {LOUD: strong[0], HELD: HASHED}
+    routers = {FLOOD: large[0], BEHIND_SMALL_VM: HASHED_HOME}
     return smallvms.play(SITE, asked, cores=cores, routers=routers, seed=7)
 
 
 def test_account_behind_a_small_vm_gets_its_share_beside_a_flood() -> None:
-    """Guards against a home on the small VM that carries all of one account."""
+    """Guards against a home on the small VM that serves all callers of one account."""
     result = play()
-    share = result.tokens_by_account[HELD] / result.tokens_by_account[LOUD]
+    share = result.tokens_by_account[BEHIND_SMALL_VM] / result.tokens_by_account[FLOOD]
     assert 0.75 <= share <= 1.34
 
 
-def test_engines_do_not_idle_behind_a_home_without_processor_time() -> None:
-    """Guards against a flood that the home of a pool can't decide in time."""
+def test_engines_are_busy_despite_an_overloaded_small_vm() -> None:
+    """Guards against a home that can't decide on the requests of a flood in time."""
     assert play().use >= 0.85
