--- a/tests/decisions/test_isolation.py
+++ b/tests/decisions/test_isolation.py
@@ -1,4 +1,4 @@
-"""Requests under which servers crashed run apart, and hold up nobody else."""
+"""Requests under which servers crashed run isolated and don't delay others."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_pool(servers: int, engine: catalog.Engine | None = None) -> pools.Pool:
-    """Return a pool of so many servers with eight places each."""
+    """Return a pool of servers with eight slots each."""
     pool = pools.Pool(ids.PoolId("desk#1#0"), random.Random(1))
     entries = [
         catalog.ServerEntry(
@@ -36,7 +36,7 @@
 def make_ask(
     request: str, isolation: int = 0, prompt_tokens: int = 0
 ) -> messages.SlotRequest:
-    """Return a request, of one account."""
+    """Return a request of one account."""
     return messages.SlotRequest(
         request=ids.RequestId(request),
         pool=ids.PoolId("desk#1#0"),
@@ -56,7 +56,7 @@
 
 
 def place(pool: pools.Pool, now: float, *asks: messages.SlotRequest) -> dict[str, str]:
-    """Ask for places; returns the server of each request that has got one."""
+    """Ask for slots; returns the server of each request that was placed."""
     answers = [answer for ask in asks for answer in pool.ask(ROUTER, ask, now)]
     answers += pool.tick(now)
     return {
@@ -67,14 +67,14 @@
 
 
 @pytest.mark.parametrize("engine, tokens", [(None, 0), (ENGINE, 200)])
-def test_copies_of_an_isolated_request_run_one_after_the_other(
+def test_copies_of_an_isolated_request_run_one_at_a_time(
     engine: catalog.Engine | None, tokens: int
 ) -> None:
     pool = make_pool(3, engine)
     first, second = make_ask("r1", 7, tokens), make_ask("r2", 7, tokens)
-    found = place(pool, 0.0, first, second)
-    assert list(found) == ["r1"]
-    pool.end("r1", found["r1"], states.RunEnding.FAILED, 0.1)
+    placed = place(pool, 0.0, first, second)
+    assert list(placed) == ["r1"]
+    pool.end("r1", placed["r1"], states.RunEnding.FAILED, 0.1)
     assert list(place(pool, 0.2)) == ["r2"]
 
 
@@ -82,27 +82,27 @@
 def test_isolated_requests_never_share_a_server(
     engine: catalog.Engine | None, tokens: int
 ) -> None:
-    """Guards against a crash of which two suspects may be the cause."""
+    """Guards against a crash with two possible causes."""
     pool = make_pool(3, engine)
     asks = [make_ask(f"r{number}", number, tokens) for number in range(1, 6)]
-    found = place(pool, 0.0, *asks)
+    placed = place(pool, 0.0, *asks)
     for step in range(1, 5):
-        found |= place(pool, step / 10)
-    assert sorted(found) == ["r1", "r2", "r3"]
-    assert len(set(found.values())) == 3
+        placed |= place(pool, step / 10)
+    assert sorted(placed) == ["r1", "r2", "r3"]
+    assert len(set(placed.values())) == 3
 
 
-def test_isolated_requests_that_wait_hold_up_no_other() -> None:
-    """Guards against an account that stands still behind its suspects."""
+def test_waiting_isolated_requests_do_not_block_others() -> None:
+    """Guards against an account that is blocked by its isolated requests."""
     pool = make_pool(2)
     place(pool, 0.0, make_ask("first", 7))
     copies = [make_ask(f"copy-{number}", 7) for number in range(20)]
     others = [make_ask(f"other-{number}") for number in range(5)]
-    found = place(pool, 0.1, *copies, *others)
-    assert sorted(found) == [f"other-{number}" for number in range(5)]
+    servers = place(pool, 0.1, *copies, *others)
+    assert sorted(servers) == [f"other-{number}" for number in range(5)]
 
 
-def test_isolation_outlasts_a_change_of_home() -> None:
+def test_isolation_survives_a_change_of_home() -> None:
     pool = make_pool(2)
     held = messages.RunHeld(
         request=ids.RequestId("r1"),
