--- a/celeryspan/decisions/accountshares.py
+++ b/celeryspan/decisions/accountshares.py
@@ -9,11 +9,11 @@
 A large pool has several homes. Without an exchange between them, an account whose
 prompts all belong to one shard would get a share of that shard only, while an account
 with prompts everywhere would get one in each. The homes therefore sum up their shares
-over a hypercube: in each dimension a home sends its sum of the lower dimensions to the
-partner whose shard number differs in that bit. With ``n`` shards each home sends
-``log2(n)`` sums a round, and after as many rounds each home knows the total; sending to
-all homes of 1,000 shards would take as many messages from each. The last sums from a
-dead partner decay like all others.
+over a hypercube: in each dimension a home sends its own units and those received in
+lower dimensions to the partner whose shard number differs in that bit. With ``n``
+shards each home sends ``log2(n)`` sums a round, and after as many rounds each home
+knows the total; sending to all homes of 1,000 shards would take as many messages from
+each. The last sums from a dead partner decay like all others.
 """
 
 from __future__ import annotations
@@ -77,8 +77,8 @@
 
     def level(self, account: ids.AccountId) -> float:
         """Return a scaled sum over all shards, comparable between accounts only."""
-        heard = (units.get(account, 0.0) for units in self._received.values())
-        return self._own.get(account, 0.0) + sum(heard)
+        received = (units.get(account, 0.0) for units in self._received.values())
+        return self._own.get(account, 0.0) + sum(received)
 
     def measure(self, account: ids.AccountId, now: float) -> float:
         """Return the decayed units of an account over all shards, as of now."""
--- a/celeryspan/decisions/poolqueue.py
+++ b/celeryspan/decisions/poolqueue.py
@@ -97,9 +97,9 @@
             if self._remove(account, request):
                 return
 
-    def remove_matching(self, is_taken: Callable[[Task], bool]) -> list[Task]:
+    def remove_matching(self, matches: Callable[[Task], bool]) -> list[Task]:
         """Remove all requests that match a predicate and return them."""
-        found = [task for task in self if is_taken(task)]
+        found = [task for task in self if matches(task)]
         for task in found:
             self.remove(task)
         return found
--- a/celeryspan/decisions/poolservers.py
+++ b/celeryspan/decisions/poolservers.py
@@ -132,16 +132,16 @@
         return self._prefill_done_at
 
     def add(
-        self, request: ids.RequestId, run: Run, now: float, rest: float = 0.0
+        self, request: ids.RequestId, run: Run, now: float, pause_seconds: float = 0.0
     ) -> None:
         """Add a run; its prefill starts when all earlier prefill is done.
 
         Parameters
         ----------
-        rest : float
+        pause_seconds : float
             Time without prefill after which a new burst starts, in seconds.
         """
-        self.burst = self.measure_burst(rest, now) + run.prefill_seconds
+        self.burst = self.measure_burst(pause_seconds, now) + run.prefill_seconds
         self.runs[request] = run
         if not run.is_begun:
             self._prefilling[request] = run
@@ -214,10 +214,10 @@
                 pending = now - run.due_at
         return pending if pending > 0.0 else 0.0
 
-    def measure_burst(self, rest: float, now: float) -> float:
-        """Return the prefill since the last pause of at least ``rest`` seconds."""
-        rested = now >= self._prefill_done_at + rest * self.slowdown
-        return 0.0 if rested and self.pending_seconds(now) <= 0.0 else self.burst
+    def measure_burst(self, pause_seconds: float, now: float) -> float:
+        """Return the prefill since the last pause of at least ``pause_seconds``."""
+        has_paused = now >= self._prefill_done_at + pause_seconds * self.slowdown
+        return 0.0 if has_paused and self.pending_seconds(now) <= 0.0 else self.burst
 
     def is_prefilling_long(self) -> bool:
         """Whether a long prompt is being prefilled."""
--- a/celeryspan/decisions/serverhealth.py
+++ b/celeryspan/decisions/serverhealth.py
@@ -52,9 +52,8 @@
             backoff = min(BACKOFF_SECONDS * 2**self._backoffs, BACKOFF_SECONDS_MAX)
             self._backoff_until = now + backoff
             self._backoffs += 1
-            self._consecutive_failures = (
-                CONSECUTIVE_FAILURES_MAX - 1
-            )  # One more failure starts the next backoff.
+            # One more failure starts the next backoff.
+            self._consecutive_failures = CONSECUTIVE_FAILURES_MAX - 1
 
     def is_backing_off(self, now: float) -> bool:
         """Whether the server gets no requests now."""
--- a/celeryspan/decisions/shards.py
+++ b/celeryspan/decisions/shards.py
@@ -220,8 +220,8 @@
         return ask.request, 0.0
     shared = ask.parts[:-1] or ask.parts
     tokens = sum(part.tokens for part in ask.parts[:-1])
-    read = engines.EngineModel().read_seconds(tokens, 0)
-    return shared[-1].part, placing.PREFILL_WEIGHT * read
+    prefill = engines.EngineModel().read_seconds(tokens, 0)
+    return shared[-1].part, placing.PREFILL_WEIGHT * prefill
 
 
 def _hash(name: str) -> int:
