--- a/tests/gateway/test_keptparts.py
+++ b/tests/gateway/test_keptparts.py
@@ -10,7 +10,7 @@
 def find_cache(router: support.Router, server: str):
     """Return what the home believes one engine to keep."""
     pool = router.box.find("poolhomes")._pools[POOL]
-    return pool._placing._servers[server].cache
+    return pool._placer._servers[server].cache
 
 
 def test_home_that_has_started_again_sends_prompts_to_who_keeps_them(place) -> None:
