--- a/celeryspan/decisions/paces.py
+++ b/celeryspan/decisions/paces.py
@@ -1,10 +1,10 @@
-"""How fast the requests of each account get places in a pool.
+"""Measures the rate at which the requests of each account are placed in a pool.
 
-Load answered: one account floods with ten times what it is served. A queue that takes
-all of it holds a thousand requests that will be refused in the end: their callers wait
-for a refusal, and the home looks through all of them at each decision, so that it
-decides late for everybody. With the pace of an account known, what its queue can't work
-off in time is refused as it comes.
+One account may send ten times what it is served. A queue that accepts all of it holds a
+thousand requests that will be refused in the end: their callers wait for a refusal, and
+the home scans all of them at each decision, so that its decisions are late for
+everybody. With an account's placement rate known, requests that its queue can't serve
+in time are refused on arrival.
 """
 
 from __future__ import annotations
@@ -15,46 +15,47 @@
 
 from celeryspan import ids
 
-FADE_SECONDS = 1.0
-"""Time after which a place that was given counts for a third."""
+DECAY_SECONDS = 1.0
+"""Time constant of the decay: after it, a placement counts for about a third."""
 
-FORGOTTEN = 0.01
-"""An account whose places count for less than this begins anew."""
+COUNT_MIN = 0.01
+"""An account whose decayed count falls below this value is dropped."""
 
 
-class _Pace(msgspec.Struct):
+class _DecayingCount(msgspec.Struct):
     since: float
-    noted_at: float
+    decayed_at: float
     count: float = 0.0
 
-    def fade(self, now: float) -> None:
-        self.count *= math.exp(-(now - self.noted_at) / FADE_SECONDS)
-        self.noted_at = now
+    def decay(self, now: float) -> None:
+        self.count *= math.exp(-(now - self.decayed_at) / DECAY_SECONDS)
+        self.decayed_at = now
 
 
-class Paces:
-    """Places given to each account, fading with time."""
+class PlacementRates:
+    """Decaying count of placements per account."""
 
     def __init__(self) -> None:
-        self._paces: dict[ids.AccountId, _Pace] = {}
+        self._counts: dict[ids.AccountId, _DecayingCount] = {}
 
-    def note(self, account: ids.AccountId, now: float) -> None:
-        """Count a place given to an account."""
-        pace = self._paces.get(account)
-        if pace is None:
-            pace = self._paces[account] = _Pace(now, now)
-        pace.fade(now)
-        pace.count += 1.0
+    def record(self, account: ids.AccountId, now: float) -> None:
+        """Count a placement."""
+        entry = self._counts.get(account)
+        if entry is None:
+            entry = self._counts[account] = _DecayingCount(now, now)
+        entry.decay(now)
+        entry.count += 1.0
 
     def measure(self, account: ids.AccountId, now: float) -> float:
-        """Return places a second that an account gets; 0 if it got none of late."""
-        pace = self._paces.get(account)
-        if pace is None:
+        """Return the placements per second of an account; 0 if it had none recently."""
+        entry = self._counts.get(account)
+        if entry is None:
             return 0.0
-        pace.fade(now)
-        if pace.count < FORGOTTEN:
-            del self._paces[account]
+        entry.decay(now)
+        if entry.count < COUNT_MIN:
+            del self._counts[account]
             return 0.0
-        # What has gone on for less than the fade is not a low pace, but a young one.
-        age = 1.0 - math.exp(-(now - pace.since) / FADE_SECONDS)
-        return pace.count / (FADE_SECONDS * max(age, 1.0 / pace.count))
+        # The count hasn't reached its steady state if the account is newer than the
+        # decay time; without the correction its rate would be underestimated.
+        age = 1.0 - math.exp(-(now - entry.since) / DECAY_SECONDS)
+        return entry.count / (DECAY_SECONDS * max(age, 1.0 / entry.count))
--- a/celeryspan/decisions/placing.py
+++ b/celeryspan/decisions/placing.py
@@ -1,24 +1,26 @@
-"""Which backend server of a pool takes a request, if any can take it now.
-
-Load answered: prompts that share parts, of very different lengths, beside streams that
-must not pause; servers that are slow, dark or failing.
-
-* A request goes where its prompt is kept and where little waits to be read. Reading
-  anew is weighed ten times against waiting, since it makes all others wait as well.
-* No more than a tenth of a second of reading is pending at one engine: more would make
-  first events late, and what is not sent yet can still go elsewhere.
-* An engine that has read for as long as a stream beside it may pause reads all it has
-  before it gets more, so that a step without reading comes between.
-* A request waits a little for the server that keeps its prompt while others are free:
-  reading again costs more, and all who wait there.
-* Where engines can copy from each other, a request whose shared parts another engine
-  keeps brings them along (:class:`Keeper`): 4,870 tokens take 6 ms instead of 45.
-* A prompt whose reading alone makes the streams beside it pause past their limit goes
-  to engines set apart, one at a time (:mod:`longprompts`).
-* Plain services take the server with the shortest expected time.
-
-Sent to any server, 56 in 100 long streams had a pause that was too long; by these rules
-8 in 100 (emulated engines at the usual load, ``docs/design/placing.md``).
+"""Selects the backend server of a pool that takes a request.
+
+Prompts share parts and differ widely in length, streams beside them must not pause, and
+servers may be slow, unreachable or failing.
+
+* A request goes to the server that has its prompt cached and the least pending prefill.
+  Prefilling parts again weighs ten times as much as waiting, because it delays every
+  other request as well.
+* At most a tenth of a second of prefill is pending at an engine. More would delay first
+  events, and a request that hasn't been sent can still go to another engine.
+* An engine that has prefilled for as long as a stream beside it may pause completes all
+  pending prefill before it gets more, so that a step without prefill comes between.
+* A request waits briefly for the server that has its prompt cached while others are
+  free: prefilling again costs more and delays everything waiting there.
+* Where engines can copy from each other, cached parts are copied from the engine that
+  has most of the prompt (:class:`CacheSource`): 4,870 tokens take 6 ms instead of 45.
+* A prompt whose prefill alone makes the streams beside it pause past their limit goes
+  to a dedicated engine, one at a time (:mod:`longprompts`).
+* Requests to plain services go to the server with the shortest expected time.
+
+With requests sent to any server, 56 in 100 long streams had a pause that was too long;
+with these rules, 8 in 100 (emulated engines at the usual load,
+``docs/design/placing.md``).
 """
 
 from __future__ import annotations
@@ -35,63 +37,63 @@
 from celeryspan.decisions import engines, longprompts, migration, poolservers
 from celeryspan.wire import messages
 
-READ_WEIGHT = 10.0
-"""Weight of reading against waiting for what is read already."""
+PREFILL_WEIGHT = 10.0
+"""Weight of a second of prefill relative to a second of waiting."""
 
-AFFINITY_WAIT = 0.25
-"""Part of the latency objective that a request waits for the server that keeps most of
-its prompt, while others are free: a few ten milliseconds against reading 5,000 tokens
-again, which takes as long and keeps all others at that server waiting as well."""
+AFFINITY_WAIT_SHARE = 0.25
+"""Share of the latency objective that a request waits for the server that caches most
+of its prompt while others are free. The wait is a few tens of milliseconds; prefilling
+5,000 tokens again takes as long and delays every other request at that server."""
 
-REGRET_MIN = 0.02
-"""Cost in seconds by which another server must be better to be waited for: that of
-reading some 200 tokens or copying 8,000."""
+REGRET_SECONDS_MIN = 0.02
+"""Cost difference in seconds above which a request waits for a better server: the cost
+of prefilling about 200 tokens or copying 8,000."""
 
-RUN_SECONDS = 0.002
-"""What a run in progress counts for when servers are compared: spreads requests that
-read nothing."""
+RUN_COST_SECONDS = 0.002
+"""Cost of each run in progress; spreads requests that need no prefill."""
 
 GAP_MARGIN_SECONDS = 0.02
-"""Part of the longest pause that is left for the way of an event to its caller."""
+"""Part of the longest allowed pause reserved for delivering an event to the caller."""
 
-PLACE_SECONDS = 0.002
-"""What another data centre counts for, there and back."""
+REMOTE_COST_SECONDS = 0.002
+"""Cost of a server in another data centre: one round trip."""
 
-FETCH_TOKENS_MIN = 256
-"""Shorter parts are read in 2 ms, as long as it takes to set up a copy."""
+COPY_TOKENS_MIN = 256
+"""Shorter parts are prefilled in 2 ms, as long as it takes to set up a copy."""
 
-FETCH_SETUP_SECONDS = 0.002
+COPY_SETUP_SECONDS = 0.002
 
-FETCH_WEIGHT = 10.0
-"""Weight of copying kept parts from another engine against waiting: it takes a tenth of
-the time of reading and stops nobody, but uses links that moves need, and memory that
-pushes out what other prompts share. At 3 half of all prompts on a full day were sent
-beside their keeper: 134 GB copied in 50 s; at 10 a quarter less."""
+COPY_WEIGHT = 10.0
+"""Weight of a second of copying cached parts relative to a second of waiting. A copy
+takes a tenth of the prefill time and delays no stream, but it uses links that
+migrations need and evicts parts that other prompts share. With a weight of 3, half of
+all prompts on a full day were sent away from the server that caches them, and 134 GB
+were copied in 50 s; with 10, a quarter less."""
 
-FAILING_SECONDS = 2.0
-"""What a server that fails all requests counts for beyond its peers."""
+FAILURE_COST_SECONDS = 2.0
+"""Cost of a server that fails all requests, relative to its peers."""
 
-EXPIRE_SECONDS = 0.25
-"""How often runs are looked through for such as should have ended."""
+EXPIRY_INTERVAL_SECONDS = 0.25
+"""Interval between checks for runs that should have ended."""
 
-OVERDUE_SECONDS = 1.0
-"""A run is forgotten this long after its timeout: its router ends it then, and if the
-message was lost the place would stay taken for good."""
+EXPIRY_GRACE_SECONDS = 1.0
+"""Time after its timeout at which a run is dropped. Its router ends it at the timeout;
+if that message is lost, the slot would otherwise never be freed."""
 
-RUN_MEMORY = 0.01
-"""Weight of the newest run in the mean time that runs hold a place: the last hundred
-runs are those of less than a second at a few engines."""
+RUN_TIME_WEIGHT = 0.01
+"""Weight of the newest run in the mean run time, which thus covers about a hundred
+runs: those of less than a second at a few engines."""
 
 
-class Option(NamedTuple):
-    """A server that a request could go to; lower costs are better.
+class Candidate(NamedTuple):
+    """A server that could take a request; lower costs are better.
 
     Attributes
     ----------
     cost : float
-        Seconds of waiting, weighed.
+        Weighted waiting time, in seconds.
     is_ready : bool
-        Whether the server takes the request now.
+        Whether the server can take the request now.
     """
 
     cost: float
@@ -99,16 +101,16 @@
     is_ready: bool
 
 
-class Keeper(NamedTuple):
-    """The engine that keeps most of a prompt, and how many tokens of it."""
+class CacheSource(NamedTuple):
+    """The engine that caches the longest prefix of a prompt, and the length of that."""
 
-    kept: int
+    cached_tokens: int
     server: ids.ServerId
 
 
-NO_KEEPER = Keeper(0, ids.ServerId(""))
+NO_CACHE_SOURCE = CacheSource(0, ids.ServerId(""))
 
-NOWHERE = Option(math.inf, ids.ServerId(""), False)
+NO_CANDIDATE = Candidate(math.inf, ids.ServerId(""), False)
 
 
 class Choice(NamedTuple):
@@ -117,128 +119,148 @@
     Attributes
     ----------
     regret : float
-        How much better another server would be that can't take it yet, in seconds.
+        How much lower the cost of the best server is, if that one can't take the
+        request yet, in seconds.
     """
 
     server: ids.ServerId
     regret: float
 
 
-class Placing:
-    """The servers of one pool and what runs there."""
+class Placer:
+    """Assigns requests to the servers of one pool and tracks their runs."""
 
     def __init__(self) -> None:
         self._model = engines.EngineModel()
         self._servers: dict[ids.ServerId, poolservers.PoolServer] = {}
-        self._by_order: list[poolservers.PoolServer] = []
-        self._left: dict[ids.ServerId, poolservers.PoolServer] = {}
+        self._ordered_servers: list[poolservers.PoolServer] = []
+        self._removed_servers: dict[ids.ServerId, poolservers.PoolServer] = {}
         self._slots = 0
-        self._rest = 0.0
+        self._burst_pause_seconds = 0.0
         self._engine: catalog.Engine | None = None
-        self._long = longprompts.LongPrompts()
-        self._usual_speed = 1.0
-        self._run_seconds = 0.0
-        self._expire_at = 0.0
+        self._long_prompts = longprompts.LongPrompts()
+        self._median_slowdown = 1.0
+        self._mean_run_seconds = 0.0
+        self._next_expiry_at = 0.0
 
     def set_servers(
         self, entries: Sequence[catalog.ServerEntry], engine: catalog.Engine | None
     ) -> None:
-        """Set which servers may get new work; runs at the others go on."""
+        """Set the servers that may get new requests; runs at the others continue."""
         self._engine = engine
-        known = {**self._left, **self._servers}
+        known = {**self._removed_servers, **self._servers}
         self._servers = {}
         for entry in entries:
             server = known.pop(entry.server, None)
             if server is None or entry.succeeds(server.entry):
-                # A server that has started again keeps no prompt and runs nothing; its
-                # earlier incarnation's places and speed would mislead for seconds.
+                # A restarted server has an empty cache and no runs. The slots and the
+                # slowdown of its earlier incarnation would be wrong for seconds.
                 server = _make_server(entry, engine)
-                server.speed = self._usual_speed
+                server.slowdown = self._median_slowdown
             server.entry = entry
             self._servers[entry.server] = server
-        self._by_order = sorted(self._servers.values(), key=lambda each: each.order)
+        self._ordered_servers = sorted(
+            self._servers.values(), key=lambda each: each.order
+        )
         self._slots = sum(entry.slots for entry in entries)
-        self._rest = self._model.prefill_pause_seconds(engine) if engine else 0.0
-        self._left = {name: server for name, server in known.items() if server.runs}
+        self._burst_pause_seconds = (
+            self._model.prefill_pause_seconds(engine) if engine else 0.0
+        )
+        self._removed_servers = {
+            name: server for name, server in known.items() if server.runs
+        }
 
-    def is_hopeless(self, ask: messages.SlotRequest) -> bool:
-        """Whether no server could ever run the request."""
+    def exceeds_memory(self, ask: messages.SlotRequest) -> bool:
+        """Whether the request is too large for every server."""
         engine = self._engine
         tokens = ask.prompt_tokens + ask.output_tokens
         return engine is not None and tokens > engine.memory_tokens
 
-    def list_unasked(self) -> list[catalog.ServerEntry]:
-        """Return the engines that are to be asked what they keep; each comes once.
+    def pop_unqueried(self) -> list[catalog.ServerEntry]:
+        """Return the engines to query for their cached parts, each of them once.
 
-        A home that has just taken a pool over, or has just started, would read all
-        shared parts again, and take prompts of which most is kept for long ones.
+        Without the query, a home that has just started or taken over a pool would have
+        all shared parts prefilled again, and would classify prompts that are mostly
+        cached as long.
         """
         if self._engine is None:
             return []
-        unasked = [server for server in self._by_order if not server.is_listed]
-        for server in unasked:
-            server.is_listed = True
-        return [server.entry for server in unasked]
+        unqueried = [
+            server for server in self._ordered_servers if not server.is_queried
+        ]
+        for server in unqueried:
+            server.is_queried = True
+        return [server.entry for server in unqueried]
 
-    def add_kept(
+    def add_cached_parts(
         self,
         asked: catalog.ServerEntry,
         parts: Iterable[messages.PromptPart],
         now: float,
     ) -> None:
-        """Take in what an engine says that it keeps.
+        """Add the parts that an engine reports as cached.
 
         Parameters
         ----------
         asked : ServerEntry
-            As the engine was asked; what an earlier incarnation says is worth nothing.
+            The entry for which the engine was queried; the answer of an earlier
+            incarnation is ignored.
         """
         server = self._servers.get(asked.server)
         if server is not None and not server.entry.succeeds(asked):
-            server.cache.add_kept(parts, now)
+            server.cache.add_cached_parts(parts, now)
 
-    def note_arrival(self, ask: messages.SlotRequest, now: float) -> None:
-        """Count the reading of long prompts, so that engines are set apart for it."""
+    def record_arrival(self, ask: messages.SlotRequest, now: float) -> None:
+        """Record the prefill of a long prompt; it determines the dedicated engines."""
         if self._engine is None:
             return
-        kept = self._find_most_kept(ask)
-        pause = self._make_prompt(ask).gap_seconds(kept, 1.0)
-        read = self._model.prefill_seconds(ask.prompt_tokens - kept, kept)
-        self._long.note_arrival(pause, _limit_pause(ask), read, now)
+        cached = self._count_most_cached(ask)
+        pause = self._make_prompt(ask).gap_seconds(cached, 1.0)
+        prefill = self._model.prefill_seconds(ask.prompt_tokens - cached, cached)
+        self._long_prompts.record_arrival(pause, _pause_limit(ask), prefill, now)
 
     def is_long(self, ask: messages.SlotRequest) -> bool:
-        """Whether a prompt is long at the server that keeps most of it."""
+        """Whether a prompt is long at the server that caches most of it."""
         if self._engine is None:
             return False
-        return self._is_long(ask, self._find_most_kept(ask))
+        return self._is_long(ask, self._count_most_cached(ask))
 
-    def is_ready(self, is_long: bool, now: float) -> bool:
-        """Whether any server may get more now, a long prompt or another request."""
-        for server in self._list_for(is_long, now):
-            if not server.is_open(now):
+    def has_capacity(self, is_long: bool, now: float) -> bool:
+        """Whether any server can take a long prompt, or any other request, now."""
+        for server in self._list_eligible(is_long, now):
+            if not server.is_available(now):
                 continue
-            if not server.reads_long() if is_long else self._is_calm(server, now):
+            if is_long:
+                can_take = not server.is_prefilling_long()
+            else:
+                can_take = self._has_short_prefill_queue(server, now)
+            if can_take:
                 return True
         return False
 
-    def _is_calm(self, server: poolservers.PoolServer, now: float) -> bool:
-        return server.pending(now) <= poolservers.PENDING_SECONDS
+    def _has_short_prefill_queue(
+        self, server: poolservers.PoolServer, now: float
+    ) -> bool:
+        return server.pending_seconds(now) <= poolservers.PENDING_PREFILL_SECONDS_MAX
 
-    def _list_for(self, is_long: bool, now: float) -> Sequence[poolservers.PoolServer]:
-        """Return the servers for long prompts, or for other requests.
+    def _list_eligible(
+        self, is_long: bool, now: float
+    ) -> Sequence[poolservers.PoolServer]:
+        """Return the servers for long prompts, or those for other requests.
 
-        The same engines are set apart for long ones while their number lasts. Others go
-        there only when all the rest is full, so that no place idles while they wait.
+        The same engines are dedicated to long prompts for as long as their number
+        doesn't change. Other requests use them only when all the rest are full, so that
+        no slot stays idle while requests wait.
         """
-        count = self.count_apart()
+        count = self.count_dedicated()
         if not count:
-            return self._by_order
-        apart, rest = self._by_order[:count], self._by_order[count:]
+            return self._ordered_servers
+        dedicated, rest = self._ordered_servers[:count], self._ordered_servers[count:]
         if is_long:
-            return apart
-        if any(server.is_open(now) for server in rest):
+            return dedicated
+        if any(server.is_available(now) for server in rest):
             return rest
-        return [server for server in apart if not server.reads_long()]
+        return [server for server in dedicated if not server.is_prefilling_long()]
 
     def choose(
         self, ask: messages.SlotRequest, waited: float, now: float
@@ -248,39 +270,41 @@
         Parameters
         ----------
         waited : float
-            Time that the request has waited here, in seconds.
+            Time that the request has waited in this pool, in seconds.
         """
-        barred: Collection[ids.ServerId] = ask.excluded
-        if len(barred) >= len(self._servers):
-            barred = ()  # One that has failed the request may still be all there is.
+        excluded: Collection[ids.ServerId] = ask.excluded
+        if len(excluded) >= len(self._servers):
+            excluded = ()  # Retry servers that failed the request if no other is left.
         if ask.isolation:
             if not self.can_isolate(ask):
                 return None
-            barred = {*barred, *self._list_isolating()}
+            excluded = {*excluded, *self._find_isolated_runs()}
         if self._engine is None:
-            return self._choose_plain(ask, barred, now)
-        return self._choose_engine(ask, barred, waited, now)
+            return self._choose_plain(ask, excluded, now)
+        return self._choose_engine(ask, excluded, waited, now)
 
     def can_isolate(self, ask: messages.SlotRequest) -> bool:
-        """Whether a request that must run apart could get a place now.
+        """Whether a request that must run isolated could get a slot now.
 
-        It runs once at a time, and beside no other such request: if its server
-        crashes, no other one can be the cause.
+        Only one copy of it runs at a time, and never beside another isolated request,
+        so that a crash of its server has a single possible cause.
         """
-        running = self._list_isolating()
+        running = self._find_isolated_runs()
         is_alone = all(ask.isolation not in found for found in running.values())
         return is_alone and not self._servers.keys() <= running.keys()
 
-    def _list_isolating(self) -> dict[ids.ServerId, set[int]]:
-        """Return the servers at which requests run apart, and which ones."""
+    def _find_isolated_runs(self) -> dict[ids.ServerId, set[int]]:
+        """Return the servers with isolated runs and the fingerprints of these runs."""
         found: dict[ids.ServerId, set[int]] = {}
-        for server in [*self._servers.values(), *self._left.values()]:
-            apart = {run.isolation for run in server.runs.values() if run.isolation}
-            if apart:
-                found[server.entry.server] = apart
+        for server in [*self._servers.values(), *self._removed_servers.values()]:
+            fingerprints = {
+                run.isolation for run in server.runs.values() if run.isolation
+            }
+            if fingerprints:
+                found[server.entry.server] = fingerprints
         return found
 
-    def take(
+    def start_run(
         self,
         ask: messages.SlotRequest,
         router: ids.RouterId,
@@ -288,55 +312,59 @@
         end_at: float,
         now: float,
     ) -> poolservers.Run:
-        """Take a place for a request."""
+        """Reserve a slot for a request and record its run."""
         server = self._servers[name]
-        kept, fetch, source = self._count_kept(ask, server, self._find_keeper(ask, now))
-        read = 0.0
+        cached, copy_seconds, source = self._plan_copy(
+            ask, server, self._find_cache_source(ask, now)
+        )
+        prefill = 0.0
         if self._engine is not None:
-            read = self._make_prompt(ask).prefill_seconds(
-                kept, len(server.runs), server.speed
+            prefill = self._make_prompt(ask).prefill_seconds(
+                cached, len(server.runs), server.slowdown
             )
-            read += fetch
-        pending = server.pending(now)
-        read_until = max(now, server.read_until) + read
-        due_at = read_until + self._model.first_event_seconds
+            prefill += copy_seconds
+        pending = server.pending_seconds(now)
+        prefill_done_at = max(now, server.prefill_done_at) + prefill
+        due_at = prefill_done_at + self._model.first_event_seconds
         pause = 0.0
         if self._engine is not None:
-            pause = self._make_prompt(ask).gap_seconds(kept, server.speed)
-        limit = _limit_pause(ask)
+            pause = self._make_prompt(ask).gap_seconds(cached, server.slowdown)
+        limit = _pause_limit(ask)
         run = poolservers.Run(
             router=router,
             since=now,
-            kept=kept,
-            pending=pending,
-            read=read,
-            speed=server.speed,
+            cached_tokens=cached,
+            pending_seconds=pending,
+            prefill_seconds=prefill,
+            slowdown=server.slowdown,
             due_at=due_at,
             end_at=end_at,
-            is_long=self._long.is_long(pause, limit),
+            is_long=self._long_prompts.is_long(pause, limit),
             pause=pause if pause > limit else 0.0,
             output_tokens=ask.output_tokens,
             parts=ask.parts,
             source=source,
             isolation=ask.isolation,
         )
-        server.add(ask.request, run, now, self._rest)
-        server.cache.use(ask.parts, due_at)
+        server.add(ask.request, run, now, self._burst_pause_seconds)
+        server.cache.record_use(ask.parts, due_at)
         return run
 
-    def hold(self, router: ids.RouterId, run: messages.RunHeld, now: float) -> None:
-        """Take in a run that another home has placed."""
+    def restore_run(
+        self, router: ids.RouterId, run: messages.RunHeld, now: float
+    ) -> None:
+        """Record a run that another home has placed."""
         server = self._find(run.server)
         if server is None:
             return
-        server.cache.use(run.parts, now)
+        server.cache.record_use(run.parts, now)
         held = poolservers.Run(
             router=router,
             since=now,
-            kept=0,
-            pending=0.0,
-            read=0.0,
-            speed=1.0,
+            cached_tokens=0,
+            pending_seconds=0.0,
+            prefill_seconds=0.0,
+            slowdown=1.0,
             due_at=now,
             end_at=now + run.left,
             is_long=False,
@@ -346,46 +374,48 @@
         server.add(run.request, held, now)
 
     def begin(self, request: ids.RequestId, name: ids.ServerId, now: float) -> None:
-        """Note the first event of a run."""
+        """Record the first event of a run."""
         server = self._find(name)
         if server is None:
             return
-        readings = server.readings
+        samples = server.slowdown_samples
         server.begin(request, self._model.first_event_seconds, now)
-        if server.readings != readings:
-            self._spread_speed()
+        if server.slowdown_samples != samples:
+            self._share_slowdown()
 
-    def _spread_speed(self) -> None:
-        """Let servers that have read nothing yet be taken for as fast as the others.
+    def _share_slowdown(self) -> None:
+        """Set servers without samples to the median slowdown of the others.
 
-        The model's times are those of one kind of engine. On another kind each server
-        would first be sent twice what it can read in time, and again after a restart.
+        The model describes one kind of engine. On a slower kind, each server would
+        first be sent twice what it can prefill in time, and again after every restart.
         """
-        known = [each.speed for each in self._by_order if each.readings]
-        self._usual_speed = statistics.median(known) if known else 1.0
-        for server in self._by_order:
-            if not server.readings:
-                server.speed = self._usual_speed
+        known = [
+            each.slowdown for each in self._ordered_servers if each.slowdown_samples
+        ]
+        self._median_slowdown = statistics.median(known) if known else 1.0
+        for server in self._ordered_servers:
+            if not server.slowdown_samples:
+                server.slowdown = self._median_slowdown
 
     def migrate(
         self, request: ids.RequestId, name: ids.ServerId, now: float
     ) -> ids.ServerId | None:
-        """Return where a run that has begun is to go on, and hold a place there."""
+        """Return the server that a started run moves to, and reserve a slot there."""
         source = self._servers.get(name)
         run = source.runs.get(request) if source else None
         if run is None or self._engine is None or not run.is_long or run.isolation:
             return None
         if not migration.is_worth_moving(self._engine, run.output_tokens):
             return None
-        apart = self._by_order[: self.count_apart()]
-        if source not in apart:
+        dedicated = self._ordered_servers[: self.count_dedicated()]
+        if source not in dedicated:
             return None
-        target = migration.choose_target(source, self._list_for(False, now), now)
+        target = migration.choose_target(source, self._list_eligible(False, now), now)
         if target is None:
             return None
-        moved = msgspec.structs.replace(run, read=0.0, is_long=False)
+        moved = msgspec.structs.replace(run, prefill_seconds=0.0, is_long=False)
         target.add(request, moved, now)
-        target.cache.use(run.parts, now)
+        target.cache.record_use(run.parts, now)
         return target.entry.server
 
     def settle_migration(
@@ -397,7 +427,7 @@
         *,
         is_moved: bool,
     ) -> None:
-        """Give back the place that a moved run has left, or was not taken."""
+        """Free the slot that a run has left, or the one that it didn't move to."""
         left = self._find(name if is_moved else target)
         if left is not None:
             left.remove(request, now)
@@ -410,227 +440,247 @@
         now: float,
         pause: float = 0.0,
     ) -> None:
-        """Give a place back and learn from how the run ended.
+        """Free the slot of a run and learn from how it ended.
 
         Parameters
         ----------
         pause : float
-            Longest time between two events of its stream; 0 if it doesn't tell.
+            Longest time between two events of its stream; 0 if unknown.
         """
         server = self._find(name)
         run = server.remove(request, now) if server else None
         if run is None:
             return
         if not server.runs:
-            self._left.pop(name, None)
-        server.follow(ending, now - run.since, now)
+            self._removed_servers.pop(name, None)
+        server.record_ending(ending, now - run.since, now)
         if ending is states.RunEnding.ANSWERED:
-            self._run_seconds += (now - run.since - self._run_seconds) * RUN_MEMORY
-            if run.paused_beside and pause:
-                self._long.learn(run.paused_beside, pause)
+            self._mean_run_seconds += (
+                now - run.since - self._mean_run_seconds
+            ) * RUN_TIME_WEIGHT
+            if run.expected_pause and pause:
+                self._long_prompts.record_pause(run.expected_pause, pause)
 
     def forget_router(self, router: ids.RouterId) -> None:
-        """Drop the runs of a router that is dead."""
-        for server in [*self._servers.values(), *self._left.values()]:
+        """Drop the runs of a dead router."""
+        for server in [*self._servers.values(), *self._removed_servers.values()]:
             server.forget(router)
 
     def expire(self, now: float) -> None:
-        """Drop runs whose end was never told."""
-        if now < self._expire_at:
+        """Drop runs whose end was never reported."""
+        if now < self._next_expiry_at:
             return
-        self._expire_at = now + EXPIRE_SECONDS
-        self._long.update(now)
-        for server in [*self._servers.values(), *self._left.values()]:
-            server.expire(now - OVERDUE_SECONDS)
+        self._next_expiry_at = now + EXPIRY_INTERVAL_SECONDS
+        self._long_prompts.update(now)
+        for server in [*self._servers.values(), *self._removed_servers.values()]:
+            server.expire(now - EXPIRY_GRACE_SECONDS)
 
     def count_servers(self) -> int:
-        """Return how many servers may get new work."""
+        """Return the number of servers that may get new requests."""
         return len(self._servers)
 
     def count_runs(self) -> int:
-        """Return how many places are taken."""
+        """Return the number of slots in use."""
         return sum(
             len(server.runs)
-            for server in [*self._servers.values(), *self._left.values()]
+            for server in [*self._servers.values(), *self._removed_servers.values()]
         )
 
     def measure_pending(self, now: float) -> float:
-        """Return how long reading that was begun takes, over all servers, in seconds.
+        """Return the mean pending prefill per server, in seconds.
 
-        Only so much counts at one server as is ever sent to one at a time: a server
-        that has stopped must not make a whole pool look full.
+        Each server counts for at most the limit up to which it is sent more, so that
+        one that has stopped doesn't make the whole pool look full.
         """
         if not self._servers:
             return 0.0
-        most = poolservers.PENDING_SECONDS
-        pending = sum(min(server.pending(now), most) for server in self._by_order)
+        most = poolservers.PENDING_PREFILL_SECONDS_MAX
+        pending = sum(
+            min(server.pending_seconds(now), most) for server in self._ordered_servers
+        )
         return pending / len(self._servers)
 
-    def estimate_turn(self, waiting: int) -> float:
-        """Return when so many requests have found free places, in seconds."""
-        taken = sum(len(server.runs) for server in self._by_order)
-        lacking = waiting + 1 - (self._slots - taken)
-        return max(0, lacking) * self._run_seconds / max(1, self._slots)
+    def estimate_slot_wait(self, waiting: int) -> float:
+        """Return the seconds until a request behind ``waiting`` others finds a slot."""
+        taken = sum(len(server.runs) for server in self._ordered_servers)
+        missing = waiting + 1 - (self._slots - taken)
+        return max(0, missing) * self._mean_run_seconds / max(1, self._slots)
 
     def estimate_work(self, ask: messages.SlotRequest) -> float:
-        """Return the time that a request takes of one server, if nothing is kept.
+        """Return the server time that a request takes if nothing is cached.
 
-        For plain calls, of one place.
+        For plain calls, the time of one slot.
         """
         if self._engine is None:
-            return poolservers.CALL_SECONDS
+            return poolservers.CALL_SECONDS_INITIAL
         return self._model.prefill_seconds(ask.prompt_tokens, 0)
 
     def estimate_wait(self, work: float) -> float:
-        """Return the time in which so much work will have been placed, in seconds."""
-        parts = self._slots if self._engine is None else len(self._servers)
-        return work / max(1, parts)
+        """Return the time until this much work has been placed, in seconds."""
+        lanes = self._slots if self._engine is None else len(self._servers)
+        return work / max(1, lanes)
 
-    def estimate_first(self, ask: messages.SlotRequest) -> float:
-        """Return the time from a place to the first event, if the best server is free.
+    def estimate_first_event(self, ask: messages.SlotRequest) -> float:
+        """Return the time from placement to the first event if the best server is free.
 
-        For plain calls, to the answer.
+        For plain calls, the time to the answer.
         """
         if self._engine is None:
-            return poolservers.CALL_SECONDS
-        kept = self._find_most_kept(ask)
-        unread = max(0, ask.prompt_tokens - kept)
+            return poolservers.CALL_SECONDS_INITIAL
+        cached = self._count_most_cached(ask)
+        uncached = max(0, ask.prompt_tokens - cached)
         return self._model.first_event_seconds + self._model.prefill_seconds(
-            unread, kept
+            uncached, cached
         )
 
-    def count_apart(self) -> int:
-        """Return how many engines are set apart for long prompts."""
-        return self._long.count_apart(len(self._servers))
+    def count_dedicated(self) -> int:
+        """Return the number of engines dedicated to long prompts."""
+        return self._long_prompts.count_dedicated(len(self._servers))
 
-    def _find_keeper(self, ask: messages.SlotRequest, now: float) -> Keeper:
-        """Return the engine that keeps most of a prompt, if engines copy."""
-        best = NO_KEEPER
+    def _find_cache_source(self, ask: messages.SlotRequest, now: float) -> CacheSource:
+        """Return the engine with the longest cached prefix, if engines can copy."""
+        best = NO_CACHE_SOURCE
         if self._engine is None or not self._engine.copy_token_seconds:
             return best
-        for server in self._by_order:
-            kept = server.cache.count_ready(ask.parts, now)
-            if kept > best.kept and not server.health.rests(now):
-                best = Keeper(kept, server.entry.server)
+        for server in self._ordered_servers:
+            cached = server.cache.count_copyable(ask.parts, now)
+            if cached > best.cached_tokens and not server.health.is_backing_off(now):
+                best = CacheSource(cached, server.entry.server)
         return best
 
-    def _count_kept(
-        self, ask: messages.SlotRequest, server: poolservers.PoolServer, keeper: Keeper
+    def _plan_copy(
+        self,
+        ask: messages.SlotRequest,
+        server: poolservers.PoolServer,
+        cache_source: CacheSource,
     ) -> tuple[int, float, ids.ServerId | None]:
-        """Return what need not be read, the time to copy it, and from where."""
-        kept = server.cache.count_kept(ask.parts)
-        lacking = keeper.kept - kept
-        if lacking < FETCH_TOKENS_MIN or self._engine is None:
-            return kept, 0.0, None
-        seconds = FETCH_SETUP_SECONDS + lacking * self._engine.copy_token_seconds
-        return keeper.kept, seconds, keeper.server
-
-    def _find_most_kept(self, ask: messages.SlotRequest) -> int:
-        return max((s.cache.count_kept(ask.parts) for s in self._by_order), default=0)
+        """Return tokens that need no prefill, copy time and copy source."""
+        cached = server.cache.count_cached(ask.parts)
+        missing = cache_source.cached_tokens - cached
+        if missing < COPY_TOKENS_MIN or self._engine is None:
+            return cached, 0.0, None
+        seconds = COPY_SETUP_SECONDS + missing * self._engine.copy_token_seconds
+        return cache_source.cached_tokens, seconds, cache_source.server
+
+    def _count_most_cached(self, ask: messages.SlotRequest) -> int:
+        return max(
+            (s.cache.count_cached(ask.parts) for s in self._ordered_servers), default=0
+        )
 
     def _find(self, name: ids.ServerId) -> poolservers.PoolServer | None:
-        return self._servers.get(name) or self._left.get(name)
+        return self._servers.get(name) or self._removed_servers.get(name)
 
     def _choose_plain(
-        self, ask: messages.SlotRequest, barred: Collection[ids.ServerId], now: float
+        self, ask: messages.SlotRequest, excluded: Collection[ids.ServerId], now: float
     ) -> Choice | None:
-        fit = [
+        available = [
             server
-            for server in self._by_order
-            if server.is_open(now) and server.entry.server not in barred
+            for server in self._ordered_servers
+            if server.is_available(now) and server.entry.server not in excluded
         ]
-        if not fit:
+        if not available:
             return None
-        healthy = min(server.health.failing for server in fit)
+        healthy = min(server.health.failure_rate for server in available)
 
         def cost(server: poolservers.PoolServer) -> tuple[float, str]:
             use = (len(server.runs) + 1) / server.entry.slots
-            failing = (server.health.failing - healthy) * FAILING_SECONDS
+            failing = (server.health.failure_rate - healthy) * FAILURE_COST_SECONDS
             return (
-                server.call_seconds * (1.0 + use) + failing + _distance(server, ask),
+                server.call_seconds * (1.0 + use) + failing + _remote_cost(server, ask),
                 server.entry.server,
             )
 
-        return Choice(min(fit, key=cost).entry.server, 0.0)
+        return Choice(min(available, key=cost).entry.server, 0.0)
 
     def _choose_engine(
         self,
         ask: messages.SlotRequest,
-        barred: Collection[ids.ServerId],
+        excluded: Collection[ids.ServerId],
         waited: float,
         now: float,
     ) -> Choice | None:
-        best = ready = NOWHERE
+        best = ready = NO_CANDIDATE
         prompt = self._make_prompt(ask)
-        keeper = self._find_keeper(ask, now)
+        cache_source = self._find_cache_source(ask, now)
         for is_long in (False, True):
-            for server in self._list_for(is_long, now):
-                if not server.is_open(now) or server.entry.server in barred:
+            for server in self._list_eligible(is_long, now):
+                if not server.is_available(now) or server.entry.server in excluded:
                     continue
-                kept, fetch, _ = self._count_kept(ask, server, keeper)
-                if prompt.is_long(kept, server.speed) is not is_long:
+                cached, copy_seconds, _ = self._plan_copy(ask, server, cache_source)
+                if prompt.is_long(cached, server.slowdown) is not is_long:
                     continue
-                read = prompt.prefill_seconds(kept, len(server.runs), server.speed)
-                option = self._weigh(ask, server, read, fetch, is_long, now)
-                best = min(best, option)
-                ready = min(ready, option) if option.is_ready else ready
+                prefill = prompt.prefill_seconds(
+                    cached, len(server.runs), server.slowdown
+                )
+                candidate = self._make_candidate(
+                    ask, server, prefill, copy_seconds, is_long, now
+                )
+                best = min(best, candidate)
+                ready = min(ready, candidate) if candidate.is_ready else ready
         if not ready.is_ready:
             return None
         regret = ready.cost - best.cost
-        patience = AFFINITY_WAIT * ask.objective if regret > REGRET_MIN else 0.0
-        return None if ask.waited + waited < patience else Choice(ready.server, regret)
+        wait = 0.0
+        if regret > REGRET_SECONDS_MIN:
+            wait = AFFINITY_WAIT_SHARE * ask.objective
+        return None if ask.waited + waited < wait else Choice(ready.server, regret)
 
-    def _weigh(
+    def _make_candidate(
         self,
         ask: messages.SlotRequest,
         server: poolservers.PoolServer,
-        read: float,
-        fetch: float,
+        prefill: float,
+        copy_seconds: float,
         is_long: bool,
         now: float,
-    ) -> Option:
-        """Return what it would mean to place a request at a server."""
-        pending = server.pending(now)
-        cost = pending + READ_WEIGHT * read + RUN_SECONDS * len(server.runs)
-        cost += FETCH_WEIGHT * fetch
-        cost += server.health.failing * FAILING_SECONDS + _distance(server, ask)
+    ) -> Candidate:
+        """Return the cost of placing a request at a server, and whether it is ready."""
+        pending = server.pending_seconds(now)
+        cost = pending + PREFILL_WEIGHT * prefill + RUN_COST_SECONDS * len(server.runs)
+        cost += COPY_WEIGHT * copy_seconds
+        cost += server.health.failure_rate * FAILURE_COST_SECONDS + _remote_cost(
+            server, ask
+        )
         if is_long:
-            is_ready = not server.reads_long()
+            is_ready = not server.is_prefilling_long()
         else:
-            is_ready = self._admits(ask, server, pending, read, now)
-        return Option(cost, server.entry.server, is_ready)
+            is_ready = self._can_admit(ask, server, pending, prefill, now)
+        return Candidate(cost, server.entry.server, is_ready)
 
-    def _admits(
+    def _can_admit(
         self,
         ask: messages.SlotRequest,
         server: poolservers.PoolServer,
         pending: float,
-        read: float,
+        prefill: float,
         now: float,
     ) -> bool:
-        """Whether a server may get one more prompt now."""
-        burst = server.measure_burst(self._rest, now)
+        """Whether a server can take one more prompt now."""
+        burst = server.measure_burst(self._burst_pause_seconds, now)
         if burst <= 0.0 and pending <= 0.0:
             return True
         steps = self._model.max_gap_seconds(0, 0, ask.stride, len(server.runs))
-        longest = _limit_pause(ask) - steps * server.speed
-        is_soon = pending <= 0.0 or pending + read <= poolservers.PENDING_SECONDS
-        return is_soon and burst + read <= longest
+        longest = _pause_limit(ask) - steps * server.slowdown
+        is_soon = (
+            pending <= 0.0
+            or pending + prefill <= poolservers.PENDING_PREFILL_SECONDS_MAX
+        )
+        return is_soon and burst + prefill <= longest
 
     def _make_prompt(self, ask: messages.SlotRequest) -> engines.Prompt:
         assert self._engine is not None
         return engines.Prompt(
             self._model,
             ask.prompt_tokens,
-            _limit_pause(ask) / self._long.ratio,
+            _pause_limit(ask) / self._long_prompts.ratio,
             self._engine.stride,
             self._engine.slots // 2,
         )
 
     def _is_long(
-        self, ask: messages.SlotRequest, kept: int, speed: float = 1.0
+        self, ask: messages.SlotRequest, cached: int, slowdown: float = 1.0
     ) -> bool:
-        return self._make_prompt(ask).is_long(kept, speed)
+        return self._make_prompt(ask).is_long(cached, slowdown)
 
 
 def _make_server(
@@ -640,10 +690,10 @@
     return poolservers.PoolServer(entry, engine, order)
 
 
-def _limit_pause(ask: messages.SlotRequest) -> float:
-    """Return the longest pause that streams like this may make, in seconds."""
+def _pause_limit(ask: messages.SlotRequest) -> float:
+    """Return the longest pause allowed for the streams of a request, in seconds."""
     return ask.gap_max - GAP_MARGIN_SECONDS
 
 
-def _distance(server: poolservers.PoolServer, ask: messages.SlotRequest) -> float:
-    return 0.0 if server.entry.data_centre == ask.data_centre else PLACE_SECONDS
+def _remote_cost(server: poolservers.PoolServer, ask: messages.SlotRequest) -> float:
+    return 0.0 if server.entry.data_centre == ask.data_centre else REMOTE_COST_SECONDS
