--- a/celeryspan/decisions/gossip.py
+++ b/celeryspan/decisions/gossip.py
@@ -55,8 +55,9 @@
         """Return the facts for one datagram in a fleet of the given size."""
         if not self._facts:
             return []
-        keys = sorted(self._transmissions, key=self._transmissions.__getitem__)
-        keys = keys[:FACTS_PER_DATAGRAM_MAX]
+        keys = sorted(self._transmissions, key=self._transmissions.__getitem__)[
+            :FACTS_PER_DATAGRAM_MAX
+        ]
         facts = [self._facts[key] for key in keys]
         limit = transmit_limit(members)
         for key in keys:
--- a/celeryspan/decisions/membership.py
+++ b/celeryspan/decisions/membership.py
@@ -146,8 +146,9 @@
             other for other in self._list_present() if other.router != target.router
         ]
         request = messages.ProbeRequest(sequence, target.router)
-        count = min(probing.INDIRECT_PROBES, len(others))
-        peers = self._generator.sample(others, count)
+        peers = self._generator.sample(
+            others, min(probing.INDIRECT_PROBES, len(others))
+        )
         return actions + [self._send(peer, request) for peer in peers]
 
     def _suspect(self, target: messages.Member, now: float) -> list[statements.Action]:
--- a/celeryspan/decisions/placing.py
+++ b/celeryspan/decisions/placing.py
@@ -230,11 +230,11 @@
         for server in self._list_eligible(is_long, now):
             if not server.is_available(now):
                 continue
-            if is_long:
-                can_take = not server.is_prefilling_long()
-            else:
-                can_take = self._has_short_prefill_queue(server, now)
-            if can_take:
+            if (
+                not server.is_prefilling_long()
+                if is_long
+                else self._has_short_prefill_queue(server, now)
+            ):
                 return True
         return False
 
@@ -620,9 +620,9 @@
         if not ready.is_ready:
             return None
         regret = ready.cost - best.cost
-        wait = 0.0
-        if regret > REGRET_SECONDS_MIN:
-            wait = AFFINITY_WAIT_SHARE * ask.objective
+        wait = (
+            AFFINITY_WAIT_SHARE * ask.objective if regret > REGRET_SECONDS_MIN else 0.0
+        )
         return None if ask.waited + waited < wait else Choice(ready.server, regret)
 
     def _make_candidate(
--- a/celeryspan/decisions/quarantine.py
+++ b/celeryspan/decisions/quarantine.py
@@ -167,8 +167,9 @@
                 updated[suspect.whole] = merged
         evicted = self._evict()
         changes = self._update_standings([*updated.values(), *evicted])
-        kept = [each for each in updated.values() if each.whole in self._suspects]
-        return kept, changes
+        return [
+            each for each in updated.values() if each.whole in self._suspects
+        ], changes
 
     def expire(self, now_ms: int) -> list[StandingChange]:
         """Remove expired suspects."""
--- a/celeryspan/decisions/relays.py
+++ b/celeryspan/decisions/relays.py
@@ -214,8 +214,9 @@
         """Whether to renew the subscription to a source, last sent at ``asked_at``."""
         report = self._reports.get(source)
         is_silent = report is None or now - report.received_at > FRESH_SECONDS_RELAYS
-        silent, normal = SUBSCRIBE_PERIOD_SILENT_SECONDS, SUBSCRIBE_PERIOD_SECONDS
-        return now - asked_at >= (silent if is_silent else normal)
+        return now - asked_at >= (
+            SUBSCRIBE_PERIOD_SILENT_SECONDS if is_silent else SUBSCRIBE_PERIOD_SECONDS
+        )
 
     def is_away(self) -> bool:
         """Whether there are reports and all say that the store does not answer."""
--- a/tests/decisions/test_descriptors.py
+++ b/tests/decisions/test_descriptors.py
@@ -46,7 +46,11 @@
     selected = descriptors.select_connections_to_close(held, 9)
     remaining = collections.Counter(held)
     remaining.subtract(held[index] for index in selected)
-    assert sorted(remaining.values()) in ([2, 3, 4], [2, 3, 3])
+    assert sorted(remaining.values()) == [2, 3, 4] or sorted(remaining.values()) == [
+        2,
+        3,
+        3,
+    ]
 
 
 @hypothesis.given(holders, strategies.integers(0, 70))
