--- a/celeryspan/decisions/pools.py
+++ b/celeryspan/decisions/pools.py
@@ -15,7 +15,7 @@
   never in an engine's queue.
 * Requests that can't be served in reasonable time are refused at once, with the time
   after which a slot is likely to be free. So are requests of an account that already
-  has more waiting than its placement rate (:mod:`paces`) can serve in time.
+  has more waiting than its placement rate (:mod:`placementrates`) can serve in time.
 """
 
 from __future__ import annotations
@@ -27,7 +27,13 @@
 import msgspec
 
 from celeryspan import catalog, ids, states
-from celeryspan.decisions import accountshares, paces, placing, poolqueue, poolservers
+from celeryspan.decisions import (
+    accountshares,
+    placementrates,
+    placing,
+    poolqueue,
+    poolservers,
+)
 from celeryspan.wire import messages
 
 WAIT_TIMEOUT_SHARE = 0.25
@@ -116,7 +122,7 @@
         self._generator = generator
         self._placer = placing.Placer()
         self._shares = accountshares.AccountShares()
-        self._rates = paces.PlacementRates()
+        self._rates = placementrates.PlacementRates()
         self._queue = poolqueue.PoolQueue()
         self._queue_seconds = 0.0
 
