--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -15,7 +15,7 @@
 
 from celeryspan import catalog, errors, events, ids, kernel, metrics, states
 from celeryspan.adapters import backend
-from celeryspan.decisions import busyness, overload
+from celeryspan.decisions import overload, saturation
 from celeryspan.gateway import (
     acceptance,
     callersinks,
@@ -108,7 +108,7 @@
         self._lock = threading.Lock()
         self._in_progress: dict[int, orders.Order | None] = {}
         self._overload = overload.ConcurrencyLimiter(self._settings.caller_threads)
-        self._busyness = busyness.BusyDetector()
+        self._busyness = saturation.BusyDetector()
         self._stopped = threading.Event()
         self.draining = False
         self.refusing = False
--- a/tests/decisions/test_busyness.py
+++ b/tests/decisions/test_saturation.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from celeryspan.decisions import busyness
+from celeryspan.decisions import saturation
 
 LATE, ON_TIME = 0.2, 0.0
 
 
 def record_lateness(
-    detector: busyness.BusyDetector, lateness: float, begin: float, end: float
+    detector: saturation.BusyDetector, lateness: float, begin: float, end: float
 ) -> list:
     """Record a lateness ten times a second; return when the state changed."""
     times = [begin + 0.1 * tick for tick in range(round((end - begin) * 10))]
@@ -17,14 +17,14 @@
 
 def test_router_that_runs_late_becomes_busy_within_a_second() -> None:
     """A saturated home must not delay decisions for the whole fleet."""
-    detector = busyness.BusyDetector()
+    detector = saturation.BusyDetector()
     (changed,) = record_lateness(detector, LATE, 0.0, 3.0)
     assert changed <= 1.0
     assert detector.is_busy
 
 
 def test_single_pause_does_not_make_a_router_busy() -> None:
-    detector = busyness.BusyDetector()
+    detector = saturation.BusyDetector()
     assert not record_lateness(detector, LATE, 0.0, 0.4)
     assert not record_lateness(detector, ON_TIME, 0.4, 0.6)
     assert not record_lateness(detector, LATE, 0.6, 1.0)
@@ -32,7 +32,7 @@
 
 def test_waves_of_load_do_not_move_ledgers_back_and_forth() -> None:
     """Homes must not change, and lose their learned state, with each wave of load."""
-    detector = busyness.BusyDetector()
+    detector = saturation.BusyDetector()
     changes = []
     for wave in range(5):
         changes += record_lateness(detector, LATE, 8.0 * wave, 8.0 * wave + 4.0)
