--- a/celeryspan/gateway/quarantinestore.py
+++ b/celeryspan/gateway/quarantinestore.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from celeryspan import errors, events, kernel, storedobjects
-from celeryspan.decisions import quarantine, turns
+from celeryspan.decisions import dutyorder, quarantine
 from celeryspan.platform import names, quarantine as records
 from celeryspan.wire import messages
 
@@ -133,7 +133,7 @@
 
     def _find_turn(self) -> int:
         members = [member.router for member in self._membership.alive()]
-        return turns.find_position(self._identity.router, members, DUTY)
+        return dutyorder.find_position(self._identity.router, members, DUTY)
 
     def _read(self) -> None:
         """Take in what the store holds; an old answer costs a tenth of a fresh one."""
