--- a/celeryspan/decisions/callerlists.py
+++ b/celeryspan/decisions/callerlists.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 
 from celeryspan import ids, states
-from celeryspan.decisions import beliefs
+from celeryspan.decisions import membertable
 
 ADDRESSES_MAX = 64
 """Maximum addresses per list. A list of only a few would spread callers as evenly but
@@ -29,7 +29,7 @@
 
 
 def choose_addresses(
-    known: Iterable[beliefs.MemberRecord],
+    known: Iterable[membertable.MemberRecord],
     data_centre: str | None,
     now: float,
     generator: random.Random,
@@ -49,7 +49,7 @@
     return [member.caller_address for member in found[:ADDRESSES_MAX]]
 
 
-def is_usable(record: beliefs.MemberRecord, now: float) -> bool:
+def is_usable(record: membertable.MemberRecord, now: float) -> bool:
     """Whether callers may use a router."""
     member = record.member
     if member.state is not states.MemberState.ALIVE:
--- a/celeryspan/decisions/membership.py
+++ b/celeryspan/decisions/membership.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from celeryspan import ids, states
-from celeryspan.decisions import beliefs, probing, statements
+from celeryspan.decisions import membertable, probing, statements
 from celeryspan.wire import messages
 
 SUSPECT_SECONDS = 1.5
@@ -158,7 +158,7 @@
         was leaving is declared dead at once, because it will not return.
         """
         known = self.members.find(target.router)
-        if known is None or beliefs.rank(known.member) != beliefs.rank(target):
+        if known is None or membertable.rank(known.member) != membertable.rank(target):
             return []
         if target.state is states.MemberState.SUSPECT:
             return []
@@ -183,7 +183,7 @@
         for _ in range(len(self.members)):
             router = self._probing.choose(self._list_reachable)
             record = self.members.find(router) if router is not None else None
-            if record is not None and record.member.state in beliefs.REACHABLE:
+            if record is not None and record.member.state in membertable.REACHABLE:
                 sequence = self._probing.begin(record.member, now)
                 return [self._send(record.member, self._make_probe(sequence))]
         return []
@@ -207,7 +207,7 @@
         return messages.Probe(sequence, self._digest())
 
     def _digest(self) -> int:
-        return self.members.digest ^ beliefs.hash_member(self.own)
+        return self.members.digest ^ membertable.hash_member(self.own)
 
     def _handle_probe(
         self,
--- a/celeryspan/decisions/statements.py
+++ b/celeryspan/decisions/statements.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from celeryspan import ids, states
-from celeryspan.decisions import beliefs, gossip
+from celeryspan.decisions import gossip, membertable
 from celeryspan.wire import messages
 
 EXCHANGE_SECONDS = 1.25
@@ -77,7 +77,7 @@
     def __init__(self, own: messages.Member, generator: random.Random) -> None:
         self.own = own
         self.gossip = gossip.Gossip()
-        self.members = beliefs.MemberTable()
+        self.members = membertable.MemberTable()
         self.changes: list[tuple[Change, messages.Member]] = []
         self._generator = generator
         self._exchange_at = -math.inf
@@ -98,7 +98,7 @@
 
     def alive(self) -> list[messages.Member]:
         """Return the reachable routers, this one first; some may be leaving."""
-        return [self.own, *self.members.select(*beliefs.REACHABLE)]
+        return [self.own, *self.members.select(*membertable.REACHABLE)]
 
     def list_members(self) -> list[messages.Member]:
         """Return all members in any state, for an exchange."""
@@ -151,10 +151,10 @@
         return []
 
     def _list_present(self) -> list[messages.Member]:
-        return self.members.select(*beliefs.PRESENT)
+        return self.members.select(*membertable.PRESENT)
 
     def _list_reachable(self) -> list[messages.Member]:
-        return self.members.select(*beliefs.REACHABLE)
+        return self.members.select(*membertable.REACHABLE)
 
     def _downgrade_dead(
         self,
@@ -172,7 +172,7 @@
             return member
         if before.state is not states.MemberState.ALIVE or sender == self.own.router:
             return member
-        if beliefs.rank(member)[:2] != beliefs.rank(before)[:2]:
+        if membertable.rank(member)[:2] != membertable.rank(before)[:2]:
             return member
         return msgspec.structs.replace(member, state=states.MemberState.SUSPECT)
 
@@ -180,7 +180,7 @@
         self, member: messages.Member, now: float, sender: ids.RouterId
     ) -> list[Action]:
         """Refute a statement about this router that would override its own."""
-        if beliefs.rank(member) <= beliefs.rank(self.own):
+        if membertable.rank(member) <= membertable.rank(self.own):
             return []
         if member.state is states.MemberState.DEAD:
             self._resync_until = now + RESYNC_SECONDS
--- a/celeryspan/gateway/directory.py
+++ b/celeryspan/gateway/directory.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from celeryspan import events, ids, kernel, metrics
-from celeryspan.decisions import beliefs, callerlists
+from celeryspan.decisions import callerlists, membertable
 from celeryspan.platform import names
 from celeryspan.services import callerconnections, httpserver
 
@@ -127,7 +127,7 @@
         now = time.monotonic()
         known = self._membership.list_beliefs()
         if self.is_ready():
-            known.append(beliefs.MemberRecord(self._membership.own(), 0.0))
+            known.append(membertable.MemberRecord(self._membership.own(), 0.0))
         found = callerlists.choose_addresses(known, data_centre, now, self._random)
         return [str(address) for address in found]
 
--- a/celeryspan/services/configuration.py
+++ b/celeryspan/services/configuration.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from celeryspan import configuration, documents, errors, events, ids, kernel
-from celeryspan.decisions import beliefs, generations, watchers
+from celeryspan.decisions import generations, membertable, watchers
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -188,7 +188,7 @@
         present = [
             member.router
             for member in self._membership.alive()
-            if member.state in beliefs.PRESENT
+            if member.state in membertable.PRESENT
         ]
         return self._identity.router in watchers.choose(DUTY, present)
 
--- a/celeryspan/services/membership.py
+++ b/celeryspan/services/membership.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable, Iterable
 
 from celeryspan import events, ids, kernel, states
-from celeryspan.decisions import beliefs, membership, statements
+from celeryspan.decisions import membership, membertable, statements
 from celeryspan.services import datagrams, identity, links
 from celeryspan.wire import messages
 
@@ -96,7 +96,7 @@
         with self._lock:
             return self._decision.own
 
-    def list_beliefs(self) -> list[beliefs.MemberRecord]:
+    def list_beliefs(self) -> list[membertable.MemberRecord]:
         """Return what is believed about all other routers, and since when."""
         with self._lock:
             return self._decision.members.list_all()
--- a/celeryspan/services/pressures.py
+++ b/celeryspan/services/pressures.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from celeryspan import ids, kernel
-from celeryspan.decisions import beliefs, placement, watchers
+from celeryspan.decisions import membertable, placement, watchers
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         present = [
             member.router
             for member in self._membership.alive()
-            if member.state in beliefs.PRESENT
+            if member.state in membertable.PRESENT
         ]
         return watchers.choose(DUTY, present, CANDIDATES)
 
--- a/celeryspan/services/vmlist.py
+++ b/celeryspan/services/vmlist.py
@@ -13,7 +13,7 @@
 
 from celeryspan import errors, events, ids, kernel, states
 from celeryspan.adapters import vmlist
-from celeryspan.decisions import beliefs, departures, watchers
+from celeryspan.decisions import departures, membertable, watchers
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -150,7 +150,7 @@
         present = [
             member.router
             for member in self._membership.alive()
-            if member.state in beliefs.PRESENT
+            if member.state in membertable.PRESENT
         ]
         return self._identity.router in watchers.choose(DUTY, present, POLLERS)
 
--- a/tests/decisions/test_callerlists.py
+++ b/tests/decisions/test_callerlists.py
@@ -5,7 +5,7 @@
 import random
 
 from celeryspan import ids, states
-from celeryspan.decisions import beliefs, callerlists
+from celeryspan.decisions import callerlists, membertable
 from celeryspan.wire import messages
 
 ALIVE = states.MemberState.ALIVE
@@ -16,16 +16,16 @@
     state: states.MemberState = ALIVE,
     generation: int = 0,
     since: float = 0.0,
-) -> beliefs.MemberRecord:
+) -> membertable.MemberRecord:
     address = ids.Address("10.0.0.1", number)
     place = "hala-a" if number % 2 else "hala-b"
     member = messages.Member(
         f"edge-{number}", 1, state, place, address, address, generation, 0
     )
-    return beliefs.MemberRecord(member, since)
+    return membertable.MemberRecord(member, since)
 
 
-def choose(known: list[beliefs.MemberRecord], now: float = 10.0) -> list[int]:
+def choose(known: list[membertable.MemberRecord], now: float = 10.0) -> list[int]:
     """Return the ports of the addresses in the list for a caller in hala-a."""
     found = callerlists.choose_addresses(known, "hala-a", now, random.Random(1))
     return [address.port for address in found]
--- a/tests/services/test_membership.py
+++ b/tests/services/test_membership.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from celeryspan import kernel, states
-from celeryspan.decisions import beliefs
+from celeryspan.decisions import membertable
 from celeryspan.wire import codec, messages, proofs
 from tests.services import support
 
@@ -31,7 +31,7 @@
 
 def names(box: kernel.Kernel) -> set[str]:
     members = box.find("membership").alive()
-    return {member.router for member in members if member.state in beliefs.PRESENT}
+    return {member.router for member in members if member.state in membertable.PRESENT}
 
 
 def test_routers_without_state_find_each_other_through_one(fleet) -> None:
