--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from bench import node, world
-from celeryspan.decisions import charges, exchange, grants
+from celeryspan.decisions import exchange, grants, slotcharge
 
 if TYPE_CHECKING:
     from bench import traces
@@ -30,7 +30,7 @@
     every = [cost for found in costs.values() for cost in found]
     if not every:
         return 0.0
-    charge = charges.SLOT_CHARGE * max(sum(every) / len(every), _mean_hint(owner))
+    charge = slotcharge.SLOT_CHARGE * max(sum(every) / len(every), _mean_hint(owner))
     stale = _find_staleness(owner, service)
     sides = []
     for account in accounts:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,7 +7,7 @@
 
 from bench import world
 from celeryspan import ids
-from celeryspan.decisions import charges, preemption, sharing
+from celeryspan.decisions import preemption, sharing, slotcharge
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -51,7 +51,7 @@
         self._world = owner
         self._charge = charge
         self._estimator = sharing.CostEstimator()
-        self._slot_charge = charges.SlotCharge()
+        self._slot_charge = slotcharge.SlotCharge()
         self._queues: dict[Key, collections.deque[world.Job]] = {}
         self._running: dict[Key, dict[world.Job, float]] = {}
         self._settled: dict[Key, float] = {}
--- a/celeryspan/decisions/grants.py
+++ b/celeryspan/decisions/grants.py
@@ -20,7 +20,7 @@
 import xxhash
 
 from celeryspan import ids
-from celeryspan.decisions import charges, demand as demands, sharing, slots
+from celeryspan.decisions import demand as demands, sharing, slotcharge, slots
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
         self._next_grant = xxhash.xxh32_intdigest(name) << 32
         self._slots = slots.SlotTable()
         self._demands = demands.DemandTable()
-        self._slot_charge = charges.SlotCharge()
+        self._slot_charge = slotcharge.SlotCharge()
         self._lift_floors: dict[ids.ServiceId, float] = {}
         self._serving_since: dict[ids.ServiceId, float] = {}
         self._lifts: list[messages.Lift] = []
--- a/tests/decisions/test_sharing.py
+++ b/tests/decisions/test_sharing.py
@@ -6,7 +6,7 @@
 from hypothesis import stateful, strategies
 
 from celeryspan import ids
-from celeryspan.decisions import charges, sharing
+from celeryspan.decisions import sharing, slotcharge
 from celeryspan.wire import messages
 
 SERVICE = ids.ServiceId("planner-llm")
@@ -187,12 +187,12 @@
     on it alone, slots would have almost no charge, and the first account to send
     requests would hold most of them for minutes.
     """
-    charge = charges.SlotCharge()
+    charge = slotcharge.SlotCharge()
     for cost in (20.0, 400.0, 900.0, 360.0):
         charge.record_estimate(SERVICE, cost)
-    assert charge.per_slot(SERVICE) == charges.SLOT_CHARGE * 420.0
+    assert charge.per_slot(SERVICE) == slotcharge.SLOT_CHARGE * 420.0
     charge.record_cost(SERVICE, 920.0)
-    assert charge.per_slot(SERVICE) == charges.SLOT_CHARGE * 520.0
+    assert charge.per_slot(SERVICE) == slotcharge.SLOT_CHARGE * 520.0
 
 
 def test_max_cost_is_known_after_many_requests() -> None:
@@ -201,8 +201,8 @@
     The first three requests of a router are short. A limit based on their cost would
     drop the deficit of an account that is owed a usual request.
     """
-    charge = charges.SlotCharge()
-    for _ in range(charges.MIN_REQUESTS_FOR_MAX_COST - 1):
+    charge = slotcharge.SlotCharge()
+    for _ in range(slotcharge.MIN_REQUESTS_FOR_MAX_COST - 1):
         charge.record_cost(SERVICE, 300.0)
     assert charge.max_cost(SERVICE) == 0.0
     charge.record_cost(SERVICE, 100.0)
