--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from bench import node, world
-from celeryspan.decisions import exchange, grants, slotcharge
+from celeryspan.decisions import grants, reporting, slotcharge
 
 if TYPE_CHECKING:
     from bench import traces
@@ -54,7 +54,7 @@
     seconds = node.TICK_SECONDS + owner.trace.link_seconds + world.RETRANSMIT_SECONDS
     seconds += grants.LIFT_WARMUP_SECONDS
     seconds += _find_unheard(owner.trace)
-    return owner.trace.routers * exchange.MAX_UNREPORTED_UNITS + rate * seconds
+    return owner.trace.routers * reporting.MAX_UNREPORTED_UNITS + rate * seconds
 
 
 def _find_unheard(trace: traces.Trace) -> float:
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -20,10 +20,10 @@
 )
 from celeryspan.decisions import (
     admission,
-    exchange,
     grants,
     membership,
     queueing,
+    reporting,
     sharing,
     statements,
 )
@@ -212,7 +212,7 @@
 def prepare_counters(size: int) -> Callable[[], object]:
     """Return a call that exchanges counters between two routers."""
     other = sharing.Counters(ids.RouterId("router-0002"), INCARNATION, lambda _: 1.0)
-    rule = exchange.CounterReporter(exchange.ThresholdRule())
+    rule = reporting.CounterReporter(reporting.ThresholdRule())
     counters = make_counters(size)
     units = {(one.service, one.account): one.units for one in counters}
 
--- a/bench/exchange_bench.py
+++ b/bench/exchange_bench.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from bench import homes_policy, traces, world
-from celeryspan.decisions import exchange
+from celeryspan.decisions import reporting
 
 matplotlib.use("svg")
 matplotlib.rcParams["svg.hashsalt"] = "celeryspan"
@@ -54,8 +54,8 @@
     class Policy(homes_policy.Celeryspan):
         """The fleet under the rule of this trial."""
 
-        def make_rule(self) -> exchange.Rule:
-            return exchange.RULES[trial.rule](trial.value)
+        def make_rule(self) -> reporting.Rule:
+            return reporting.RULES[trial.rule](trial.value)
 
     owner.run(Policy(owner))
     found = owner.measures.report()
--- a/bench/homes_policy.py
+++ b/bench/homes_policy.py
@@ -6,7 +6,7 @@
 
 from bench import node as nodes, policies, world
 from celeryspan import ids
-from celeryspan.decisions import exchange
+from celeryspan.decisions import reporting
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -41,9 +41,9 @@
         self.change()
         owner.schedule(world.LOAD_SECONDS, self.note_load)
 
-    def make_rule(self) -> exchange.Rule:
+    def make_rule(self) -> reporting.Rule:
         """Return the rule of exchange."""
-        return exchange.RULES[self.rule]()
+        return reporting.RULES[self.rule]()
 
     def arrive(self, job: world.Job) -> None:
         """Queue a request at its router."""
--- a/bench/node.py
+++ b/bench/node.py
@@ -11,7 +11,7 @@
 
 from bench import policies, world
 from celeryspan import ids
-from celeryspan.decisions import exchange, fallback, grants, homes, sharing
+from celeryspan.decisions import fallback, grants, homes, reporting, sharing
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -51,8 +51,8 @@
         self.ledger = grants.Ledger(
             self.name, self.incarnation, self.counters, **fleet.ledger_options
         )
-        self.exchange = exchange.CounterReporter(fleet.make_rule())
-        self.demands = exchange.DemandReporter()
+        self.exchange = reporting.CounterReporter(fleet.make_rule())
+        self.demands = reporting.DemandReporter()
         self.estimator = sharing.CostEstimator()
         self.queues: dict[Key, collections.deque[world.Job]] = {}
         self.running: dict[world.Job, messages.Grant] = {}
@@ -112,7 +112,7 @@
         believers = self.demands.informed_homes(key)
         urgent = bool(believers) != bool(waiting)
         self.planned.add(key)
-        seconds = BATCH_SECONDS if urgent else exchange.DEMAND_BATCH_SECONDS
+        seconds = BATCH_SECONDS if urgent else reporting.DEMAND_BATCH_SECONDS
         self.world.after(seconds, self.tell_demand, key)
 
     def tell_demand(self, key: Key) -> None:
@@ -129,17 +129,17 @@
                 self.demands.record_report(key, home, waiting)
                 self.sequence += 1
                 self.send(int(home[7:]), Node.take_demand, self.make_demand(key))
-        if stage is exchange.Stage.ONE:
+        if stage is reporting.Stage.ONE:
             self.planned.add(key)
-            self.world.after(exchange.ESCALATE_SECONDS, self.tell_demand, key)
+            self.world.after(reporting.ESCALATE_SECONDS, self.tell_demand, key)
 
-    def pick_homes(self, key: Key, stage: exchange.Stage) -> Iterable[ids.RouterId]:
+    def pick_homes(self, key: Key, stage: reporting.Stage) -> Iterable[ids.RouterId]:
         """Return the homes that hear of a queue."""
         found = self.homes.get(key[0], {})
         names = {server: self.fleet.names[home] for server, home in found.items()}
-        if stage is exchange.Stage.NONE or not names:
+        if stage is reporting.Stage.NONE or not names:
             return ()
-        if stage is exchange.Stage.ALL:
+        if stage is reporting.Stage.ALL:
             attempt = self.demands.find_sample_number(key, self.world.now)
             return homes.sample_homes(set(names.values()), self.name, key[0], attempt)
         self.turn += 1
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -23,7 +23,7 @@
 
 from bench import costs, sizing
 from celeryspan import dispatch, ids
-from celeryspan.decisions import admission, exchange, grants, homes, queueing, sharing
+from celeryspan.decisions import admission, grants, homes, queueing, reporting, sharing
 from celeryspan.wire import messages
 
 SCALE = 200
@@ -51,7 +51,7 @@
         self.admission = admission.Admission(self.queues)
         self.counters = sharing.Counters(self.router, costs.INCARNATION, lambda _: 1.0)
         self.ledger = grants.Ledger(self.router, costs.INCARNATION, self.counters)
-        self.exchange = exchange.CounterReporter(exchange.ThresholdRule())
+        self.exchange = reporting.CounterReporter(reporting.ThresholdRule())
         self.sequence = 0
         self.told: dict[sharing.Key, set[ids.RouterId]] = {}
 
@@ -133,7 +133,7 @@
         first = homes.pick_first_home(found, node.router, service, node.sequence)
         self._tell_demand(node, service, account, [first])
         again = functools.partial(self._widen, node, service, account, 0)
-        self.at(self.now + exchange.ESCALATE_SECONDS, again)
+        self.at(self.now + reporting.ESCALATE_SECONDS, again)
 
     def _widen(
         self,
@@ -151,7 +151,7 @@
         )
         self._tell_demand(node, service, account, told)
         again = functools.partial(self._widen, node, service, account, attempt + 1)
-        self.at(self.now + exchange.RESAMPLE_SECONDS, again)
+        self.at(self.now + reporting.RESAMPLE_SECONDS, again)
 
     def _tell_demand(self, node: Node, service, account, told) -> None:
         node.sequence += 1
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -6,7 +6,7 @@
 
 from bench import fits
 from celeryspan import metrics
-from celeryspan.decisions import exchange, gossip, homes, probing, routing
+from celeryspan.decisions import gossip, homes, probing, reporting, routing
 
 NODES = 1300
 SERVERS = 10_000
@@ -30,7 +30,7 @@
 HOME_SERVICES = MODELS * (1.0 - (1.0 - 1.0 / MODELS) ** (SERVERS / NODES))
 """Expected number of models of which a node is a home."""
 
-REPORTS = TOKENS / exchange.MAX_UNREPORTED_UNITS
+REPORTS = TOKENS / reporting.MAX_UNREPORTED_UNITS
 """Counters of a node that pass the bound each second."""
 
 WAITING = 500
--- a/celeryspan/services/counters.py
+++ b/celeryspan/services/counters.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from celeryspan import configuration, events, ids, kernel
-from celeryspan.decisions import exchange, homes, sharing
+from celeryspan.decisions import homes, reporting, sharing
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         )
         self._delivery: delivery.DeliveryService = box.find("delivery")
         self._identity: identity.IdentityService = box.find("identity")
-        self._exchange = exchange.CounterReporter(exchange.ThresholdRule())
+        self._exchange = reporting.CounterReporter(reporting.ThresholdRule())
         self._incarnations: dict[ids.RouterId, ids.Incarnation] = {}
         self._folds: collections.deque[tuple[float, ids.RouterId, ids.Incarnation]] = (
             collections.deque()
--- a/celeryspan/services/demand.py
+++ b/celeryspan/services/demand.py
@@ -1,4 +1,4 @@
-"""Tells the homes how much waits here, as ``exchange.DemandReporter`` decides."""
+"""Tells the homes how much waits here, as ``reporting.DemandReporter`` decides."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from celeryspan import events, ids
-from celeryspan.decisions import exchange, homes
+from celeryspan.decisions import homes, reporting
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -50,7 +50,7 @@
         self._assignment = places
         self._send = send
         self._note_backlog = note_backlog
-        self._demands = exchange.DemandReporter()
+        self._demands = reporting.DemandReporter()
         self._sequence = 0
         self._turn = 0
         self._due: dict[sharing.Key, float] = {}
@@ -96,7 +96,7 @@
         """Tell homes soon if one believes something false, else with the next batch."""
         believers = self._demands.informed_homes(key)
         is_urgent = bool(believers) != bool(self._queues.waiting(*key))
-        seconds = 0.0 if is_urgent else exchange.DEMAND_BATCH_SECONDS
+        seconds = 0.0 if is_urgent else reporting.DEMAND_BATCH_SECONDS
         self._due[key] = min(self._due.get(key, math.inf), now + seconds)
         if is_urgent:
             self._changed.set()
@@ -119,19 +119,19 @@
             if again or self._demands.reported_waiting(key, home) != waiting:
                 self._demands.record_report(key, home, waiting)
                 self._send(home, demand)
-        if stage is exchange.Stage.ONE:
-            self._due[key] = now + exchange.ESCALATE_SECONDS
+        if stage is reporting.Stage.ONE:
+            self._due[key] = now + reporting.ESCALATE_SECONDS
             self._changed.set()
-        elif stage is exchange.Stage.ALL:
-            self._due[key] = now + exchange.RESAMPLE_SECONDS
+        elif stage is reporting.Stage.ALL:
+            self._due[key] = now + reporting.RESAMPLE_SECONDS
 
     def _choose_homes(
-        self, key: sharing.Key, stage: exchange.Stage, now: float
+        self, key: sharing.Key, stage: reporting.Stage, now: float
     ) -> Iterable[ids.RouterId]:
         service, _ = key
-        if stage is exchange.Stage.NONE:
+        if stage is reporting.Stage.NONE:
             return ()
-        if stage is exchange.Stage.ALL:
+        if stage is reporting.Stage.ALL:
             found = self._assignment.find_homes(service)
             attempt = self._demands.find_sample_number(key, now)
             return homes.sample_homes(found, self._router, service, attempt)
