--- a/celeryspan/decisions/limits.py
+++ b/celeryspan/decisions/limits.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from celeryspan import ids
-from celeryspan.decisions import pacing
+from celeryspan.decisions import ratelimits
 
 MIN_WINDOW = 1
 """Minimum window: one request at a time keeps the server under observation."""
@@ -115,7 +115,7 @@
         """
         if in_use >= self.size:
             self._full_at = now
-        settled = self._changed_at + pacing.FeedbackLoop.WINDOW.value.interval
+        settled = self._changed_at + ratelimits.FeedbackLoop.WINDOW.value.interval
         if load.as_of < settled:
             return
         reserve = max(1, math.ceil(ENGINE_QUEUE_SHARE * load.running))
@@ -137,7 +137,9 @@
         token_seconds : float or None
             Mean seconds between two tokens of its stream.
         """
-        may_change = now - self._changed_at >= pacing.FeedbackLoop.WINDOW.value.interval
+        may_change = (
+            now - self._changed_at >= ratelimits.FeedbackLoop.WINDOW.value.interval
+        )
         if failed:
             if may_change:
                 self._resize(int(self.size * FAILURE_WINDOW_FACTOR), now)
@@ -156,7 +158,7 @@
 
     def _stream_settle_seconds(self) -> float:
         """Return the time after a change until the mean covers only new streams."""
-        return 5.0 * pacing.FeedbackLoop.WINDOW.value.interval
+        return 5.0 * ratelimits.FeedbackLoop.WINDOW.value.interval
 
     def _may_grow(self, load: LoadReport, now: float) -> bool:
         """Whether the window is in use and the server's streams keep their token time.
--- a/celeryspan/decisions/outliers.py
+++ b/celeryspan/decisions/outliers.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from celeryspan import ids
-from celeryspan.decisions import pacing
+from celeryspan.decisions import ratelimits
 
 FAILURES_TO_EJECT = 5
 """Consecutive failures that eject a server: if one in ten requests fails at random,
@@ -124,8 +124,12 @@
 
     def __init__(self) -> None:
         self._servers: dict[ids.ServerId, _ServerStats] = {}
-        self._ejection_limiter = pacing.RateLimiter(pacing.FeedbackLoop.EJECTION.value)
-        self._trial_limiter = pacing.RateLimiter(pacing.FeedbackLoop.READMISSION.value)
+        self._ejection_limiter = ratelimits.RateLimiter(
+            ratelimits.FeedbackLoop.EJECTION.value
+        )
+        self._trial_limiter = ratelimits.RateLimiter(
+            ratelimits.FeedbackLoop.READMISSION.value
+        )
 
     def add(self, server: ids.ServerId, now: float) -> None:
         """Start monitoring a server."""
--- a/celeryspan/decisions/routing.py
+++ b/celeryspan/decisions/routing.py
@@ -25,7 +25,7 @@
 import xxhash
 
 from celeryspan import dispatch, ids
-from celeryspan.decisions import pacing
+from celeryspan.decisions import ratelimits
 
 MAX_PAIRS = 20_000
 """Maximum number of (block, server) pairs: 8 MB at 409 bytes for a block with one
@@ -249,7 +249,7 @@
 
     def __init__(self, cache: CacheMap) -> None:
         self._cache = cache
-        self._limiter = pacing.RateLimiter(pacing.FeedbackLoop.AFFINITY.value)
+        self._limiter = ratelimits.RateLimiter(ratelimits.FeedbackLoop.AFFINITY.value)
 
     def affinity(self, server: ids.ServerId, work: dispatch.Work) -> float:
         """Return the cached blocks lost if a request does not run on the given server.
