--- a/bench/node.py
+++ b/bench/node.py
@@ -11,7 +11,7 @@
 
 from bench import policies, world
 from celeryspan import ids
-from celeryspan.decisions import fallback, grants, homes, reporting, sharing
+from celeryspan.decisions import grants, homes, partitions, reporting, sharing
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -328,7 +328,7 @@
             others = None
             if server in self.in_use:
                 others = max(0, entry.reported - self.in_use[server])
-            window = fallback.share_window(
+            window = partitions.share_window(
                 entry.spec.slots, len(self.view), self.world.trace.routers, others
             )
             self.ledger.set_window(server, window)
--- a/celeryspan/decisions/homes.py
+++ b/celeryspan/decisions/homes.py
@@ -10,7 +10,7 @@
 membership without communication. When a router leaves, only its servers move, and they
 spread evenly over the others. Two routers whose memberships differ briefly may both act
 as home; until the views agree the server gets at most one extra window of requests (see
-``fallback.py`` for lasting partitions).
+``partitions.py`` for lasting partitions).
 """
 
 from __future__ import annotations
--- a/celeryspan/services/homes.py
+++ b/celeryspan/services/homes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from celeryspan import events, ids, kernel
-from celeryspan.decisions import fallback, grants, homes, limits
+from celeryspan.decisions import grants, homes, limits, partitions
 from celeryspan.services import votes, windows
 from celeryspan.wire import messages
 
@@ -267,7 +267,7 @@
         current = self._configuration.current()
         window = self._windows.size(server, self._ledger.in_use(server), now)
         if current is not None:
-            window = fallback.share_window(
+            window = partitions.share_window(
                 window,
                 len(self._known),
                 len(current.register.vms),
--- a/tests/decisions/test_homes.py
+++ b/tests/decisions/test_homes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from celeryspan import ids
-from celeryspan.decisions import fallback, homes
+from celeryspan.decisions import homes, partitions
 
 ROUTERS = [ids.RouterId(f"router-{index}") for index in range(6)]
 SERVERS = [ids.ServerId(f"server-{index}") for index in range(600)]
@@ -74,8 +74,8 @@
     server would get twice its load. If each used only its own share, slots would be
     idle while the other part has no requests.
     """
-    assert fallback.share_window(16, visible, 6, others) == expected
+    assert partitions.share_window(16, visible, 6, others) == expected
 
 
 def test_isolated_router_keeps_at_least_one_slot() -> None:
-    assert fallback.share_window(2, 1, 6, 2.0) == 1
+    assert partitions.share_window(2, 1, 6, 2.0) == 1
