--- a/celeryspan/services/links.py
+++ b/celeryspan/services/links.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from celeryspan import errors, events, ids, kernel
-from celeryspan.decisions import outages
+from celeryspan.decisions import circuitbreaker
 from celeryspan.services import connections, identity, traffic
 from celeryspan.wire import messages, outbox
 
@@ -181,7 +181,7 @@
                 give_up = time.monotonic() + FORGET_SECONDS
             else:
                 peer.failures += 1
-                delay = outages.draw_delay(peer.failures, self._generator)
+                delay = circuitbreaker.draw_delay(peer.failures, self._generator)
                 self._stopped.wait(delay)
             with self._lock:
                 if peer.connection is not None or not peer.outbox:
--- a/celeryspan/services/store.py
+++ b/celeryspan/services/store.py
@@ -11,7 +11,7 @@
 
 from celeryspan import errors, events, kernel
 from celeryspan.adapters import store
-from celeryspan.decisions import outages
+from celeryspan.decisions import circuitbreaker
 
 Result = TypeVar("Result")
 
@@ -27,8 +27,8 @@
 
     def __init__(self, box: kernel.Kernel) -> None:
         self.client = store.StoreClient(box.settings.store_address)
-        self._breaker = outages.CircuitBreaker()
-        self._budget = outages.CallBudget()
+        self._breaker = circuitbreaker.CircuitBreaker()
+        self._budget = circuitbreaker.CallBudget()
         self._generator = random.Random(box.settings.router + str(time.time_ns()))
         self._lock = threading.Lock()
         self._calls: collections.Counter[str] = collections.Counter()
--- a/tests/decisions/test_outages.py
+++ b/tests/decisions/test_circuitbreaker.py
@@ -4,15 +4,15 @@
 
 import random
 
-from celeryspan.decisions import outages, watchers
+from celeryspan.decisions import circuitbreaker, watchers
 
 
 def test_breaker_admits_one_probe_at_a_time() -> None:
-    breaker = outages.CircuitBreaker()
+    breaker = circuitbreaker.CircuitBreaker()
     generator = random.Random(1)
     assert breaker.try_acquire(0.0)
     assert breaker.record_failure(0.0, generator)
-    later = outages.FIRST_DELAY_MAX_SECONDS
+    later = circuitbreaker.FIRST_DELAY_MAX_SECONDS
     assert breaker.try_acquire(later)
     assert not breaker.try_acquire(later)
     assert not breaker.record_failure(later, generator)
@@ -33,7 +33,7 @@
     end = 600.0
     first_calls = []
     for _ in range(1_300):
-        breaker, now = outages.CircuitBreaker(), 0.0
+        breaker, now = circuitbreaker.CircuitBreaker(), 0.0
         while now < end:
             if breaker.try_acquire(now):
                 breaker.record_failure(now, generator)
@@ -46,15 +46,15 @@
         for start in range(600, 620)
     )
     assert busiest < 300
-    assert max(first_calls) < end + outages.DELAY_MAX_SECONDS + 1
+    assert max(first_calls) < end + circuitbreaker.DELAY_MAX_SECONDS + 1
 
 
 def test_budget_limits_the_sustained_rate_and_permits_a_burst() -> None:
-    budget = outages.CallBudget()
+    budget = circuitbreaker.CallBudget()
     taken = sum(budget.take(0.0) for _ in range(100))
-    assert taken == outages.BURST_CALLS
+    assert taken == circuitbreaker.BURST_CALLS
     taken = sum(budget.take(second / 10) for second in range(1, 1_001))
-    assert taken == 100 * outages.CALLS_PER_SECOND
+    assert taken == 100 * circuitbreaker.CALLS_PER_SECOND
 
 
 def test_watchers_are_few_agreed_on_and_replaced() -> None:
--- a/tests/services/test_store_outages.py
+++ b/tests/services/test_store_outages.py
@@ -8,7 +8,7 @@
 import urllib3
 
 from celeryspan import errors
-from celeryspan.decisions import outages
+from celeryspan.decisions import circuitbreaker
 from standins import fleet as fleets, store
 from tests.services import support
 
@@ -93,7 +93,7 @@
 
 
 def test_background_is_held_to_its_budget(standin, service) -> None:
-    for _ in range(int(outages.BURST_CALLS)):
+    for _ in range(int(circuitbreaker.BURST_CALLS)):
         service.list_keys("none/", background=True)
     with pytest.raises(errors.StoreNotAsked):
         for _ in range(5):
