--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -19,7 +19,7 @@
 from celeryspan.decisions import (
     generations,
     leases,
-    placement,
+    modelplacement,
     statements,
     watchers,
 )
@@ -274,7 +274,7 @@
 def measure_moves() -> float:
     """Return moves an hour under a steady, noisy load of four models, once settled."""
     generator = random.Random(5)
-    found = placement.PlacementPlanner()
+    found = modelplacement.PlacementPlanner()
     servers = {f"server-{number:02}": f"model-{number % 4}" for number in range(40)}
     loads = {"model-0": 130, "model-1": 70, "model-2": 20, "model-3": 10}
     moves: list[float] = []
@@ -283,7 +283,9 @@
             name: _press(name, load * generator.uniform(0.85, 1.15), servers)
             for name, load in loads.items()
         }
-        placed = {name: placement.PlacedServer(to, 8) for name, to in servers.items()}
+        placed = {
+            name: modelplacement.PlacedServer(to, 8) for name, to in servers.items()
+        }
         move = found.choose_move(seen, placed, now)
         if move is not None:
             found.record_move(move.server, now)
@@ -294,9 +296,9 @@
     return round(len(settled) / (PLACEMENT_HOURS - 1), 3)
 
 
-def _press(name: str, load: float, servers: dict[str, str]) -> placement.Pressure:
+def _press(name: str, load: float, servers: dict[str, str]) -> modelplacement.Pressure:
     slots = 8 * sum(service == name for service in servers.values())
-    return placement.Pressure(
+    return modelplacement.Pressure(
         max(0, round(load) - slots), min(round(load), slots), slots
     )
 
--- a/celeryspan/services/moves.py
+++ b/celeryspan/services/moves.py
@@ -16,7 +16,7 @@
 
 from celeryspan import configuration, events, ids, publishing, register
 from celeryspan.adapters import store
-from celeryspan.decisions import placement
+from celeryspan.decisions import modelplacement
 
 if TYPE_CHECKING:
     from celeryspan.services import drains
@@ -31,13 +31,13 @@
 class Progress(msgspec.Struct):
     """How far the move under way has come."""
 
-    move: placement.Move
+    move: modelplacement.Move
     began_at: float
     written: bool = False
 
 
 class Mover:
-    """Carries out what :class:`placement.PlacementPlanner` decides."""
+    """Carries out what :class:`modelplacement.PlacementPlanner` decides."""
 
     def __init__(
         self, client: store.StoreClient, emptying: drains.Drains, author: str
@@ -45,7 +45,7 @@
         self._client = client
         self._drains = emptying
         self._author = author
-        self._placement = placement.PlacementPlanner()
+        self._placement = modelplacement.PlacementPlanner()
         self._progress: Progress | None = None
 
     def describe(self) -> str:
@@ -59,7 +59,7 @@
         self,
         current: configuration.Configuration,
         managed: dict[ids.ServerId, register.Server],
-        pressures: dict[ids.ServiceId, placement.Pressure],
+        pressures: dict[ids.ServiceId, modelplacement.Pressure],
         leaving: frozenset[ids.ServerId],
         now: float,
     ) -> None:
@@ -104,12 +104,14 @@
     def _begin(
         self,
         managed: dict[ids.ServerId, register.Server],
-        pressures: dict[ids.ServiceId, placement.Pressure],
+        pressures: dict[ids.ServiceId, modelplacement.Pressure],
         leaving: frozenset[ids.ServerId],
         now: float,
     ) -> None:
         placed = {
-            name: placement.PlacedServer(ids.ServiceId(server.service), server.slots)
+            name: modelplacement.PlacedServer(
+                ids.ServiceId(server.service), server.slots
+            )
             for name, server in managed.items()
             if name not in leaving
         }
--- a/celeryspan/services/pressures.py
+++ b/celeryspan/services/pressures.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from celeryspan import ids, kernel
-from celeryspan.decisions import membertable, placement, watchers
+from celeryspan.decisions import membertable, modelplacement, watchers
 from celeryspan.wire import messages
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         ]
         return watchers.choose(DUTY, present, CANDIDATES)
 
-    def sum_up(self) -> dict[ids.ServiceId, placement.Pressure]:
+    def sum_up(self) -> dict[ids.ServiceId, modelplacement.Pressure]:
         """Return the pressure on each service over the routers heard lately."""
         oldest = time.monotonic() - STALE_SECONDS
         totals: dict[ids.ServiceId, list[int]] = collections.defaultdict(
@@ -84,7 +84,7 @@
                 total[0] += report.waiting
                 total[1] += report.busy
                 total[2] += report.slots
-        return {name: placement.Pressure(*total) for name, total in totals.items()}
+        return {name: modelplacement.Pressure(*total) for name, total in totals.items()}
 
     def measure(self) -> list[messages.Pressure]:
         """Return what this router sees of each service whose engines it may order."""
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_modelplacement.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from celeryspan.decisions import placement
+from celeryspan.decisions import modelplacement
 
 SLOTS = 8
 
@@ -13,16 +13,16 @@
     """Simulates the servers of two services, with a placement check every 10 s."""
 
     def __init__(self, first: int, second: int) -> None:
-        self.placement = placement.PlacementPlanner()
+        self.placement = modelplacement.PlacementPlanner()
         self.servers = {
             f"server-{number:02}": "first" if number < first else "second"
             for number in range(first + second)
         }
-        self.moves: list[tuple[float, placement.Move]] = []
+        self.moves: list[tuple[float, modelplacement.Move]] = []
 
-    def measure(self, name: str, load: int) -> placement.Pressure:
+    def measure(self, name: str, load: int) -> modelplacement.Pressure:
         slots = SLOTS * sum(service == name for service in self.servers.values())
-        return placement.Pressure(max(0, load - slots), min(load, slots), slots)
+        return modelplacement.Pressure(max(0, load - slots), min(load, slots), slots)
 
     def run(self, begin: float, end: float, first: int, second: int) -> None:
         """Apply constant loads, in concurrent requests, from ``begin`` to ``end``."""
@@ -33,7 +33,7 @@
                 "second": self.measure("second", second),
             }
             placed = {
-                name: placement.PlacedServer(service, SLOTS)
+                name: modelplacement.PlacedServer(service, SLOTS)
                 for name, service in self.servers.items()
             }
             move = self.placement.choose_move(pressures, placed, now)
@@ -48,9 +48,9 @@
     fleet = Fleet(8, 2)
     fleet.run(0, 1_200, first=10, second=50)
     times = [now for now, _ in fleet.moves]
-    assert times[0] >= placement.MIN_PRESSURE_SECONDS
+    assert times[0] >= modelplacement.MIN_PRESSURE_SECONDS
     gaps = [late - early for early, late in itertools.pairwise(times)]
-    assert min(gaps) >= placement.MOVE_INTERVAL_SECONDS
+    assert min(gaps) >= modelplacement.MOVE_INTERVAL_SECONDS
     assert 3 <= len(fleet.moves) <= 6
     fleet.run(1_200, 4_800, first=10, second=50)
     assert all(now < 1_200 for now, _ in fleet.moves)
@@ -84,4 +84,4 @@
     for server in fleet.servers:
         times = [now for now, move in fleet.moves if move.server == server]
         gaps = [late - early for early, late in itertools.pairwise(times)]
-        assert all(gap >= placement.SERVER_COOLDOWN_SECONDS for gap in gaps)
+        assert all(gap >= modelplacement.SERVER_COOLDOWN_SECONDS for gap in gaps)
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -7,7 +7,7 @@
 
 from celeryspan import kernel, publishing, register, rules
 from celeryspan.adapters import orders, store as store_adapter
-from celeryspan.decisions import leases, loading, placement
+from celeryspan.decisions import leases, loading, modelplacement
 from celeryspan.services import drains, orders as orders_service, pressures
 from standins import engine, store
 from tests.services import support
@@ -91,7 +91,7 @@
     monkeypatch.setattr(drains, "QUIET_SECONDS", 0.1)
     monkeypatch.setattr(pressures, "REPORT_SECONDS", 0.2)
     for name in ("MIN_PRESSURE_SECONDS", "MOVE_INTERVAL_SECONDS"):
-        monkeypatch.setattr(placement, name, 0.5)
+        monkeypatch.setattr(modelplacement, name, 0.5)
     made = Fleet()
     yield made
     made.stop()
@@ -138,8 +138,8 @@
         service,
         "sum_up",
         lambda: {
-            "planner-llm": placement.Pressure(0, 0, 4),
-            "lm-pool": placement.Pressure(9, 0, 0),
+            "planner-llm": modelplacement.Pressure(0, 0, 4),
+            "lm-pool": modelplacement.Pressure(9, 0, 0),
         },
     )
     support.wait_until(lambda: "other" in fleet.models(), 20.0)
