--- a/celeryspan/adapters/__init__.py
+++ b/celeryspan/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""One narrow adapter for each outside system."""
+"""Adapters to external systems, one module per system."""
--- a/celeryspan/adapters/backend.py
+++ b/celeryspan/adapters/backend.py
@@ -1,4 +1,4 @@
-"""What the router asks of the adapter of a backend server, and their registry."""
+"""Interface of the backend server adapters, and their registry."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from celeryspan import calls, errors, ids, states
 
-# Piece of an answer body read at once, in bytes.
-READ_BYTES = 16_384
+# Largest chunk of a response body to read at once.
+READ_CHUNK_BYTES = 16_384
 
 
 class Declined(errors.CeleryspanError):
-    """The backend server says itself that it did not run the request.
+    """The backend server reports that it did not execute the request.
 
     Parameters
     ----------
     leaving : bool
-        Whether it declines because it is leaving.
+        Whether the reason is that the server is leaving.
     """
 
     def __init__(
@@ -31,27 +31,27 @@
 
 
 class AnswerLost(errors.CeleryspanError):
-    """The connection ended, fell silent or talked nonsense before the whole answer."""
+    """The connection closed, timed out or sent invalid data within the response."""
 
 
 class StreamRefused(errors.CeleryspanError):
-    """The backend server has no such stream to give; asking again won't help."""
+    """The backend server cannot provide the stream; a retry would fail as well."""
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
 
 class Tokens(msgspec.Struct, frozen=True):
-    """Some tokens of a stream.
+    """Consecutive tokens of a stream.
 
     Attributes
     ----------
     offset : int
-        Number of tokens before these.
+        Position of the first of them in the stream.
     """
 
     offset: int
@@ -59,12 +59,12 @@
 
 
 class Finished(msgspec.Struct, frozen=True):
-    """The end of a whole stream.
+    """The end of a complete stream.
 
     Attributes
     ----------
     tokens : int
-        Tokens of the whole answer.
+        Number of tokens in the complete response.
     """
 
     tokens: int
@@ -73,37 +73,41 @@
     reason: str
 
 
-class Link(urllib3_connection.HTTPConnection):
-    """One connection to a backend server, used by one request at a time."""
+class Connection(urllib3_connection.HTTPConnection):
+    """A connection to a backend server, used by one request at a time."""
 
     server: ids.ServerId
 
 
 class PlainAdapter(Protocol):
-    """Speaks to a plain service."""
+    """Protocol client for plain services."""
 
-    def send(self, link: Link, call: calls.Call, run: ids.RequestId) -> None:
+    def send(
+        self, connection: Connection, call: calls.Call, run: ids.RequestId
+    ) -> None:
         """Write the request."""
 
-    def receive(self, link: Link) -> tuple[Head, Iterator[bytes]]:
-        """Read the head of the answer; the iterator ends only if it is whole."""
+    def receive(self, connection: Connection) -> tuple[Head, Iterator[bytes]]:
+        """Return the head and the body; the iterator raises if the body is cut off."""
 
 
 class ModelAdapter(Protocol):
-    """Speaks to a model engine."""
+    """Protocol client for model engines."""
 
-    def send(self, link: Link, call: calls.ChatCall, run: ids.RequestId) -> None:
+    def send(
+        self, connection: Connection, call: calls.ChatCall, run: ids.RequestId
+    ) -> None:
         """Write the request."""
 
-    def resume(self, link: Link, run: ids.RequestId, offset: int) -> None:
-        """Ask for the rest of a stream without running it again."""
+    def resume(self, connection: Connection, run: ids.RequestId, offset: int) -> None:
+        """Request the rest of a stream without starting the run again."""
 
     def receive(
-        self, link: Link, run: ids.RequestId, offset: int
+        self, connection: Connection, run: ids.RequestId, offset: int
     ) -> Iterator[Tokens | Finished]:
-        """Read a stream; anything of another run or offset is dropped."""
+        """Yield a stream; data of another run or of earlier offsets is dropped."""
 
-    def cancel(self, link: Link, run: ids.RequestId) -> None:
+    def cancel(self, connection: Connection, run: ids.RequestId) -> None:
         """Ask the engine to stop a run."""
 
 
@@ -113,11 +117,13 @@
 
 
 def register(kind: states.ServiceKind) -> Callable[[AdapterClass], AdapterClass]:
-    """Make a class the adapter of a kind of service."""
+    """Register a class as the adapter for a kind of service."""
 
     def decorate(factory: AdapterClass) -> AdapterClass:
         if kind in REGISTRY:
-            raise ValueError(f"kind {kind.value!r} has two adapters")
+            raise ValueError(
+                f"an adapter for kind {kind.value!r} is already registered"
+            )
         REGISTRY[kind] = factory
         return factory
 
@@ -125,12 +131,12 @@
 
 
 def read_body(response: urllib3_response.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield the body as it comes.
+    """Yield the body in chunks as they arrive.
 
-    urllib3 raises if the body ends before its announced length or last chunk.
+    urllib3 raises if the body ends before its Content-Length or its last chunk.
     """
     while True:
-        piece = response.read1(READ_BYTES)
-        if not piece:
+        chunk = response.read1(READ_CHUNK_BYTES)
+        if not chunk:
             return
-        yield piece
+        yield chunk
--- a/celeryspan/adapters/engine.py
+++ b/celeryspan/adapters/engine.py
@@ -1,4 +1,4 @@
-"""The adapter of model engines."""
+"""Adapter for model engines."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from celeryspan import calls, events, ids, states
 from celeryspan.adapters import backend, plain
 
-# One line of a stream; a token is a few bytes and a line holds some of them.
+# Far above the few short tokens that a line holds.
 LINE_BYTES_MAX = 1_048_576
 
-# The answer of an engine that has been ordered to load another model meanwhile.
+# Response of an engine that was ordered to load another model in the meantime.
 NOT_LOADED_STATUS = 409
 NOT_LOADED = "model not loaded"
 
 
 @backend.register(states.ServiceKind.MODEL)
 class ModelEngine:
-    """Speaks the engines' streaming protocol."""
+    """Client for the streaming protocol of the engines."""
 
     def send(
-        self, link: backend.Link, call: calls.ChatCall, run: ids.RequestId
+        self, connection: backend.Connection, call: calls.ChatCall, run: ids.RequestId
     ) -> None:
         """Write the request; raises OSError or urllib3's HTTPError."""
         body = {
@@ -30,7 +30,7 @@
             "messages": call.messages,
             "max_tokens": call.tokens_max,
         }
-        link.request(
+        connection.request(
             "POST",
             "/generate",
             body=json.dumps(body).encode(),
@@ -38,19 +38,23 @@
             preload_content=False,
         )
 
-    def resume(self, link: backend.Link, run: ids.RequestId, offset: int) -> None:
-        """Ask for the stream from an offset on."""
-        link.request("GET", f"/generate/{run}?offset={offset}", preload_content=False)
+    def resume(
+        self, connection: backend.Connection, run: ids.RequestId, offset: int
+    ) -> None:
+        """Request the stream from an offset."""
+        connection.request(
+            "GET", f"/generate/{run}?offset={offset}", preload_content=False
+        )
 
     def receive(
-        self, link: backend.Link, run: ids.RequestId, offset: int
+        self, connection: backend.Connection, run: ids.RequestId, offset: int
     ) -> Iterator[backend.Tokens | backend.Finished]:
-        """Yield the stream from an offset on; ends without Finished if it was cut."""
-        response = link.getresponse()
+        """Yield the stream from an offset; ends without Finished if it was cut off."""
+        response = connection.getresponse()
         if response.status != 200:
-            _raise_refusal(response.status, response.read(), link.server)
-        for line in _split_lines(backend.read_body(response), link.server):
-            piece = _read_line(line, run, offset, link.server)
+            _raise_refusal(response.status, response.read(), connection.server)
+        for line in _split_lines(backend.read_body(response), connection.server):
+            piece = _parse_line(line, run, offset, connection.server)
             if piece is None:
                 continue
             yield piece
@@ -58,10 +62,10 @@
                 return
             offset += len(piece.texts)
 
-    def cancel(self, link: backend.Link, run: ids.RequestId) -> None:
-        """Ask the engine to stop a run, and wait for its word."""
-        link.request("DELETE", f"/generate/{run}", preload_content=False)
-        link.getresponse().read()
+    def cancel(self, connection: backend.Connection, run: ids.RequestId) -> None:
+        """Ask the engine to stop a run, and wait for its response."""
+        connection.request("DELETE", f"/generate/{run}", preload_content=False)
+        connection.getresponse().read()
 
 
 def _raise_refusal(status: int, body: bytes, server: ids.ServerId) -> None:
@@ -74,55 +78,61 @@
     raise backend.StreamRefused(f"status {status}", step="read answer", peer=server)
 
 
-def _split_lines(pieces: Iterator[bytes], server: ids.ServerId) -> Iterator[bytes]:
-    rest = b""
-    for piece in pieces:
-        *lines, rest = (rest + piece).split(b"\n")
+def _split_lines(chunks: Iterator[bytes], server: ids.ServerId) -> Iterator[bytes]:
+    remainder = b""
+    for chunk in chunks:
+        *lines, remainder = (remainder + chunk).split(b"\n")
         yield from lines
-        if len(rest) > LINE_BYTES_MAX:
-            raise backend.AnswerLost("line too long", step="read answer", peer=server)
-    if rest:
-        yield rest
+        if len(remainder) > LINE_BYTES_MAX:
+            raise backend.AnswerLost(
+                f"line exceeds {LINE_BYTES_MAX} bytes", step="read answer", peer=server
+            )
+    if remainder:
+        yield remainder
 
 
-def _read_line(
+def _parse_line(
     line: bytes, run: ids.RequestId, offset: int, server: ids.ServerId
 ) -> backend.Tokens | backend.Finished | None:
-    """Return what a line adds to the stream, or None.
+    """Return the new content of a line, or None if there is none.
 
-    A line of another run, which a confused engine or device between may send, would
-    put one caller's text into another's answer: it carries the other run's id and is
-    dropped. A line sent twice is cut to what is new; a gap raises AnswerLost.
+    A faulty engine or intermediary may send a line of another run, which would leak one
+    caller's text into another's response; such a line carries the id of that run and is
+    dropped. A line that overlaps earlier ones is trimmed; a gap raises AnswerLost.
     """
     if not line.strip():
         return None
     try:
-        found = json.loads(line)
-        if found["request"] != run:
+        fields = json.loads(line)
+        if fields["request"] != run:
             events.log(events.Event.STALE_ANSWER_DROPPED, request=run, server=server)
             return None
-        start = int(found["offset"])
-        if found.get("done"):
-            return _read_end(found, start, offset, server)
-        texts = tuple(str(text) for text in found["tokens"])
+        start = int(fields["offset"])
+        if fields.get("done"):
+            return _parse_end(fields, start, offset, server)
+        texts = tuple(str(text) for text in fields["tokens"])
     except (ValueError, KeyError, TypeError) as error:
         raise backend.AnswerLost(
-            f"malformed line: {error}", step="read answer", peer=server
+            f"malformed line in the stream: {error}", step="read answer", peer=server
         ) from error
     if start > offset:
-        raise backend.AnswerLost("tokens missing", step="read answer", peer=server)
+        raise backend.AnswerLost(
+            f"expected offset {offset}, found {start}", step="read answer", peer=server
+        )
     texts = texts[offset - start :]
     return backend.Tokens(offset, texts) if texts else None
 
 
-def _read_end(
-    found: dict[str, object], start: int, offset: int, server: ids.ServerId
+def _parse_end(
+    fields: dict[str, object], start: int, offset: int, server: ids.ServerId
 ) -> backend.Finished:
     if start != offset:
-        raise backend.AnswerLost("tokens missing", step="read answer", peer=server)
+        raise backend.AnswerLost(
+            f"expected offset {offset}, found {start}", step="read answer", peer=server
+        )
     return backend.Finished(
         tokens=offset,
-        prompt_tokens=int(str(found.get("prompt_tokens", 0))),
-        cached_tokens=int(str(found.get("cached_tokens", 0))),
-        reason=str(found.get("finish_reason", "stop")),
+        prompt_tokens=int(str(fields.get("prompt_tokens", 0))),
+        cached_tokens=int(str(fields.get("cached_tokens", 0))),
+        reason=str(fields.get("finish_reason", "stop")),
     )
--- a/celeryspan/adapters/load.py
+++ b/celeryspan/adapters/load.py
@@ -1,4 +1,4 @@
-"""The adapter of load reports of backend servers."""
+"""Adapter for the load reports of backend servers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from celeryspan.decisions import limits
 
 TIMEOUT_SECONDS = 2.0
-"""A report that takes longer is too old to be of use."""
+"""A report that takes longer is too old to be useful."""
 
 
 class LoadClient:
@@ -29,26 +29,26 @@
         Parameters
         ----------
         now : float
-            Monotonic seconds; the report's own time is moved to this clock.
+            Current monotonic time, in seconds, to which the report's time is converted.
 
         Raises
         ------
         errors.CeleryspanError
-            If there is no answer or it can't be read.
+            If no valid response arrives.
         """
         try:
             response = self._pool.request("GET", f"http://{address}/load")
-            found = response.json()
-            age = max(0.0, time.time() - float(found["as_of"]))
+            fields = response.json()
+            age = max(0.0, time.time() - float(fields["as_of"]))
             return limits.LoadReport(
-                slots=int(found["slots"]),
-                running=int(found["running"]),
-                waiting=int(found["waiting"]),
-                tokens_per_second=float(found.get("tokens_per_second", 0.0)),
+                slots=int(fields["slots"]),
+                running=int(fields["running"]),
+                waiting=int(fields["waiting"]),
+                tokens_per_second=float(fields.get("tokens_per_second", 0.0)),
                 as_of=now - age,
-                leaving=bool(found.get("leaving", False)),
+                leaving=bool(fields.get("leaving", False)),
             )
         except (urllib3.exceptions.HTTPError, ValueError, KeyError, TypeError) as error:
             raise errors.CeleryspanError(
-                f"no load report: {error}", step="read load", peer=server
+                f"cannot read the load report: {error}", step="read load", peer=server
             ) from error
--- a/celeryspan/adapters/orders.py
+++ b/celeryspan/adapters/orders.py
@@ -1,4 +1,4 @@
-"""Client of the orders that model engines take."""
+"""Client for the state and the orders of model engines."""
 
 from __future__ import annotations
 
@@ -9,44 +9,48 @@
 from celeryspan import errors, ids
 from celeryspan.decisions import loading
 
-CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 3.0
-"""Both together are ``leases.ORDER_SECONDS``; after that nothing more is sent."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 3.0
+"""Both add up to ``leases.ORDER_SECONDS``, after which nothing more is sent."""
 
 
 class FenceRefused(errors.CeleryspanError):
-    """The engine has heard of a newer holder of the duty."""
+    """The engine has seen a higher fencing number, of a newer holder of the duty."""
 
 
 class OrderClient:
     """Reads the state of model engines and sends them orders."""
 
     def __init__(self) -> None:
-        timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=ANSWER_SECONDS)
+        timeout = urllib3.Timeout(
+            connect=CONNECT_TIMEOUT_SECONDS, read=READ_TIMEOUT_SECONDS
+        )
         self._pool = urllib3.PoolManager(timeout=timeout, retries=False)
 
     def read_state(self, address: ids.Address) -> loading.EngineState:
-        """Return what an engine reports of itself.
+        """Return the state that an engine reports.
 
         Raises
         ------
         errors.CeleryspanError
-            If there is no answer or it can't be read.
+            If no valid response arrives.
         """
-        answer = self._call("GET", address, "/state", None)
+        response = self._call("GET", address, "/state", None)
         try:
-            found = json.loads(answer.data)
+            fields = json.loads(response.data)
             return loading.EngineState(
-                model=str(found["model"]),
-                adapters=tuple(str(name) for name in found["adapters"]),
-                version=str(found["version"]),
-                role=str(found["role"]),
-                fence=int(found["fence"]),
-                loading=bool(found["loading"]),
+                model=str(fields["model"]),
+                adapters=tuple(str(name) for name in fields["adapters"]),
+                version=str(fields["version"]),
+                role=str(fields["role"]),
+                fence=int(fields["fence"]),
+                loading=bool(fields["loading"]),
             )
         except (ValueError, KeyError, TypeError) as error:
             raise errors.CeleryspanError(
-                f"not a state: {error!r}", step="read state", peer=str(address)
+                f"malformed engine state: {error!r}",
+                step="read state",
+                peer=str(address),
             ) from error
 
     def send(
@@ -61,9 +65,10 @@
         Raises
         ------
         FenceRefused
-            If the fencing number is old.
+            If the engine has seen a higher fencing number.
         errors.CeleryspanError
-            If there is no answer; the order may have been taken.
+            If the engine does not accept the order, or no response arrives, in which
+            case it may have accepted it.
         """
         order: dict[str, object] = {"fence": fence, "kind": kind.value}
         if kind is loading.Kind.LOAD:
@@ -72,12 +77,18 @@
             order["version"] = wanted.version
         else:
             order["role"] = wanted.role
-        answer = self._call("POST", address, "/orders", json.dumps(order).encode())
-        if answer.status == 409:
-            raise FenceRefused("fence", step="order", peer=str(address))
-        if answer.status != 202:
+        response = self._call("POST", address, "/orders", json.dumps(order).encode())
+        if response.status == 409:
+            raise FenceRefused(
+                f"fencing number {fence} is out of date",
+                step="order",
+                peer=str(address),
+            )
+        if response.status != 202:
             raise errors.CeleryspanError(
-                f"status {answer.status}", step="order", peer=str(address)
+                f"expected status 202, found {response.status}",
+                step="order",
+                peer=str(address),
             )
 
     def _call(
@@ -87,5 +98,5 @@
             return self._pool.request(method, f"http://{address}{path}", body=body)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise errors.CeleryspanError(
-                f"no answer: {error}", step="order", peer=str(address)
+                f"no response: {error}", step="order", peer=str(address)
             ) from error
--- a/celeryspan/adapters/plain.py
+++ b/celeryspan/adapters/plain.py
@@ -1,4 +1,4 @@
-"""The adapter of plain services."""
+"""Adapter for plain services."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from celeryspan import calls, ids, states
 from celeryspan.adapters import backend
 
-REQUEST_HEADER = "Celeryspan-Request-Id"
+REQUEST_ID_HEADER = "Celeryspan-Request-Id"
 LEAVING_STATUS = 503
-LEAVING_BYTES_MAX = 1024
+ERROR_BODY_BYTES_MAX = 1024
 
-# Headers that belong to one connection only (RFC 9110, section 7.6.1).
-HOP_HEADERS = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -32,12 +32,14 @@
 
 @backend.register(states.ServiceKind.PLAIN)
 class PlainService:
-    """Passes any call on as it is."""
+    """Forwards calls unchanged."""
 
-    def send(self, link: backend.Link, call: calls.Call, run: ids.RequestId) -> None:
+    def send(
+        self, connection: backend.Connection, call: calls.Call, run: ids.RequestId
+    ) -> None:
         """Write the request; raises OSError or urllib3's HTTPError."""
-        headers = dict(call.headers) | {REQUEST_HEADER: run}
-        link.request(
+        headers = dict(call.headers) | {REQUEST_ID_HEADER: run}
+        connection.request(
             call.method,
             call.target,
             body=call.body or None,
@@ -46,44 +48,49 @@
             decode_content=False,
         )
 
-    def receive(self, link: backend.Link) -> tuple[backend.Head, Iterator[bytes]]:
-        """Read the head of the answer, and offer its body."""
-        response = link.getresponse()
+    def receive(
+        self, connection: backend.Connection
+    ) -> tuple[backend.Head, Iterator[bytes]]:
+        """Return the head of the response and an iterator over its body."""
+        response = connection.getresponse()
         if response.status == LEAVING_STATUS:
-            return self._read_refusal(link, response)
+            return self._read_refusal(connection, response)
         return _make_head(response), backend.read_body(response)
 
     def _read_refusal(
-        self, link: backend.Link, response: urllib3_response.HTTPResponse
+        self, connection: backend.Connection, response: urllib3_response.HTTPResponse
     ) -> tuple[backend.Head, Iterator[bytes]]:
         body = response.read()
         if is_leaving(body):
             raise backend.Declined(
-                "the server is leaving", leaving=True, step="send", peer=link.server
+                "the server is leaving",
+                leaving=True,
+                step="send",
+                peer=connection.server,
             )
         return _make_head(response), iter([body])
 
 
 def is_leaving(body: bytes) -> bool:
-    """Say whether an error body is the refusal of a server that is leaving."""
+    """Return whether an error body says that the server is leaving."""
     return read_reason(body) == "leaving"
 
 
 def read_reason(body: bytes) -> object:
     """Return the reason in a short error body, or None."""
-    if len(body) > LEAVING_BYTES_MAX:
+    if len(body) > ERROR_BODY_BYTES_MAX:
         return None
     try:
-        found = json.loads(body)
+        fields = json.loads(body)
     except ValueError:
         return None
-    return found.get("error") if isinstance(found, dict) else None
+    return fields.get("error") if isinstance(fields, dict) else None
 
 
 def _make_head(response: urllib3.BaseHTTPResponse) -> backend.Head:
     headers = tuple(
         (name, value)
         for name, value in response.headers.items()
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in HOP_BY_HOP_HEADERS
     )
     return backend.Head(response.status, headers)
--- a/celeryspan/adapters/prefix.py
+++ b/celeryspan/adapters/prefix.py
@@ -1,4 +1,4 @@
-"""The blocks of a prompt as the model engines' prefix caches name them."""
+"""Block hashes of prompts, computed like those in the prefix caches of the engines."""
 
 from __future__ import annotations
 
@@ -6,16 +6,15 @@
 
 import xxhash
 
-# Tokens of one block; must be what the engines use, or their cache events match none.
+# Must equal the block size of the engines, or no hash matches their cache events.
 BLOCK_TOKENS = 16
 
-# Blocks that are hashed at most: beyond 16,384 tokens a longer match changes nothing
-# about which server fits best.
+# Limits hashing to 16,384 tokens; longer matches do not change which server is best.
 BLOCKS_MAX = 1024
 
 
 def hash_blocks(messages: Iterable[Mapping[str, object]]) -> tuple[int, ...]:
-    """Return the chained hash of each full block, the first block first."""
+    """Return the chained hashes of the full blocks, in prompt order."""
     text = " ".join(f"{item['role']} {item.get('content', '')}" for item in messages)
     tokens = text.split()[: BLOCK_TOKENS * BLOCKS_MAX]
     blocks: list[int] = []
--- a/celeryspan/adapters/routers.py
+++ b/celeryspan/adapters/routers.py
@@ -1,4 +1,4 @@
-"""Client of the routers' own calls, for the commands of operators."""
+"""Client for the operator API of routers, used by the command line."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from celeryspan import errors
 
-ANSWER_SECONDS = 5.0
-"""Greatest wait for a router's answer; one that takes longer is shown as silent."""
+TIMEOUT_SECONDS = 5.0
+"""A router that takes longer to respond is shown as unreachable."""
 
 
 class AddressAnswer(msgspec.Struct, frozen=True):
-    """Which addresses callers should use, nearest first, and for how long."""
+    """Addresses that callers should use, nearest first, and how long they are valid."""
 
     addresses: tuple[str, ...]
     keep_seconds: float
 
 
 class Member(msgspec.Struct, frozen=True):
-    """What one router believes about another.
+    """The state of one router as another one sees it.
 
     Attributes
     ----------
     address : str
-        Where it serves callers; empty if the report does not say.
+        Address for callers; empty if unknown.
     """
 
     state: str
@@ -36,14 +36,14 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What one router says of itself.
+    """The status report of one router.
 
     Attributes
     ----------
     fields : dict
-        The answer as it came; see the operators' calls in docs/protocols.md.
+        The decoded response; see the operator API in docs/protocols.md.
     error : str
-        Why there is no answer; empty if there is one.
+        Why there is no response; empty if there is one.
     """
 
     address: str
@@ -52,22 +52,22 @@
 
     @property
     def router(self) -> str:
-        """Name of the router, empty without an answer."""
+        """Name of the router, empty without a response."""
         return str(self.fields.get("router", ""))
 
     @property
     def data_centre(self) -> str:
-        """Data centre of the router, empty without an answer."""
+        """Data centre of the router, empty without a response."""
         return str(self.fields.get("data_centre", ""))
 
     @property
     def generation(self) -> int:
-        """Generation of the configuration in force, 0 for none."""
+        """Generation of the active configuration, 0 for none."""
         return int(self._get("configuration").get("generation", 0))
 
     @property
     def in_progress(self) -> int:
-        """Calls that are not answered to their end, the one for this report too."""
+        """Calls in progress, including the one for this report."""
         return int(self._get("caller").get("in_progress", 0))
 
     @property
@@ -77,7 +77,7 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """What the router believes about all routers, by name."""
+        """State of each known router, by name."""
         return {
             name: Member(
                 str(found.get("state", "?")),
@@ -89,17 +89,17 @@
 
     @property
     def homes(self) -> dict[str, str]:
-        """The home router's name by backend server, as this router sees it."""
+        """Name of the home router of each backend server, as this router sees it."""
         return dict(self._get("assignment").get("homes", {}))
 
     @property
     def waiting(self) -> dict[str, int]:
-        """Requests that wait at this router, by ``SERVICE/ACCOUNT``."""
+        """Number of requests waiting at this router, by ``SERVICE/ACCOUNT``."""
         return dict(self._get("dispatch").get("waiting", {}))
 
     @property
     def received(self) -> dict[str, float]:
-        """Service received in the fleet, as far as this router has heard."""
+        """Service received across the fleet, as known to this router."""
         return dict(self._get("counters").get("received", {}))
 
     def _get(self, service: str) -> dict[str, Any]:
@@ -108,7 +108,7 @@
 
 
 class RouterClient:
-    """Calls routers on behalf of an operator.
+    """Calls the operator API of routers.
 
     Parameters
     ----------
@@ -118,33 +118,33 @@
 
     def __init__(self, key: str) -> None:
         self._key = key
-        self._pool = urllib3.PoolManager(retries=False, timeout=ANSWER_SECONDS)
+        self._pool = urllib3.PoolManager(retries=False, timeout=TIMEOUT_SECONDS)
 
     def get_addresses(self, address: str) -> AddressAnswer:
-        """Return the routers that a router tells callers to use.
+        """Return the addresses that a router gives to callers.
 
         Raises
         ------
         errors.CeleryspanError
-            If it does not answer.
+            If it does not respond.
         """
         fields = self._call("GET", address, "/v1/addresses")
         return AddressAnswer(tuple(fields["addresses"]), float(fields["keep_seconds"]))
 
     def get_report(self, address: str) -> Report:
-        """Return the status of one router; without an answer, the error in it."""
+        """Return the status of one router; if it fails, a report of the error."""
         try:
             return Report(address, self._call("GET", address, "/v1/status"))
         except errors.CeleryspanError as error:
             return Report(address, {"error": str(error)}, str(error))
 
     def get_reports(self, address: str) -> list[Report]:
-        """Return the status of a router and of the others that it knows.
+        """Return the status of a router and of all others that it knows.
 
         Raises
         ------
         errors.CeleryspanError
-            If the first router does not answer.
+            If the first router does not respond.
         """
         first = Report(address, self._call("GET", address, "/v1/status"))
         others = set(self.get_addresses(address).addresses)
@@ -158,7 +158,7 @@
         Raises
         ------
         errors.CeleryspanError
-            If it does not answer, or refuses.
+            If it does not respond, or refuses.
         """
         self._call("POST", address, "/v1/drain")
 
@@ -166,28 +166,28 @@
         headers = {"Authorization": f"Bearer {self._key}"} if self._key else {}
         step = f"{method} {path}"
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 method, f"http://{address}{path}", headers=headers
             )
-            fields = json.loads(answer.data) if answer.data else {}
+            fields = json.loads(response.data) if response.data else {}
         except urllib3.exceptions.HTTPError as error:
             raise errors.CeleryspanError(
-                f"expected an answer within {ANSWER_SECONDS:.0f} s, found: {error}; "
+                f"expected a response within {TIMEOUT_SECONDS:.0f} s, found: {error}; "
                 "is this a router's address for callers?",
                 step=step,
                 peer=address,
             ) from error
         except ValueError as error:
             raise errors.CeleryspanError(
-                "expected JSON, found something else; is this a router?",
+                "the response is not JSON; is this a router?",
                 step=step,
                 peer=address,
             ) from error
-        if answer.status >= 300:
+        if response.status >= 300:
             found = fields.get("error", {}) if isinstance(fields, dict) else {}
             message = found.get("message", "") if isinstance(found, dict) else found
             raise errors.CeleryspanError(
-                f"expected success, found {answer.status}: {message}",
+                f"expected success, found {response.status}: {message}",
                 step=step,
                 peer=address,
             )
--- a/celeryspan/adapters/store.py
+++ b/celeryspan/adapters/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object API: versions, conditional updates, watches."""
+"""Client of the platform's object API, with conditional updates and watches."""
 
 from __future__ import annotations
 
@@ -10,32 +10,34 @@
 from celeryspan import errors
 
 VALUE_BYTES_MAX = 1_048_576
-"""Greatest value that the object API takes, in bytes (docs/protocols.md)."""
+"""Limit of the object API for a value (docs/protocols.md)."""
 
 CONNECT_SECONDS = 1.0
-"""The API answers in milliseconds; a connection that takes longer is an outage."""
+"""The API responds in milliseconds; a connection that takes longer is an outage."""
 
-ANSWER_SECONDS = 3.0
-"""Greatest wait for an answer: a slow store still serves, a silent one doesn't."""
+READ_TIMEOUT_SECONDS = 3.0
+"""Long enough for a slow store; one that takes longer counts as unavailable."""
 
 CONNECTIONS_MAX = 8
-"""Connections kept open by one router; watches hold one each."""
+"""Open connections per router; each watch occupies one."""
 
 
 class StoreClient:
-    """Calls the object API; each method is one call, and none is repeated.
+    """Calls the object API; each method is one call, without retries.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the object API.
-    answer_seconds : float
-        Greatest wait for an answer, in seconds.
+    read_timeout : float
+        Greatest wait for a response, in seconds.
     """
 
-    def __init__(self, address: str, answer_seconds: float = ANSWER_SECONDS) -> None:
+    def __init__(
+        self, address: str, read_timeout: float = READ_TIMEOUT_SECONDS
+    ) -> None:
         self.address = address
-        self._answer_seconds = answer_seconds
+        self._read_timeout = read_timeout
         self._pool = urllib3.PoolManager(
             maxsize=CONNECTIONS_MAX, retries=False, block=False
         )
@@ -46,89 +48,93 @@
         Raises
         ------
         errors.NotFound
-            If there is no such key.
+            If the key does not exist.
         errors.StoreUnavailable
-            If no answer came.
+            If no response arrives.
         """
-        answer = self._call("GET", self._path(key), step="read")
-        return answer.data, self._version(answer)
+        response = self._call("GET", self._make_path(key), step="read")
+        return response.data, self._read_version(response)
 
     def watch(self, key: str, above: int, seconds: float) -> tuple[bytes, int] | None:
-        """Wait until the version of a key is above a number.
+        """Wait until the version of a key exceeds ``above``.
 
         Returns
         -------
         tuple or None
-            Value and version, or None when the time is over.
+            Value and version, or None on timeout.
         """
         query = urllib.parse.urlencode({"above": above, "wait": seconds})
-        path = f"{self._path(key)}?{query}"
-        answer = self._call("GET", path, step="watch", wait=seconds)
-        if answer.status == 304:
+        path = f"{self._make_path(key)}?{query}"
+        response = self._call("GET", path, step="watch", wait=seconds)
+        if response.status == 304:
             return None
-        return answer.data, self._version(answer)
+        return response.data, self._read_version(response)
 
     def create(self, key: str, value: bytes) -> int:
-        """Write a key that does not exist yet and return its version.
+        """Create a key and return its version.
 
         Raises
         ------
         errors.Conflict
-            If it exists; nothing was written.
+            If the key exists; nothing was written.
         errors.StoreUnavailable
-            If no answer came; the write may have taken effect.
+            If no response arrives; the write may have taken effect.
         """
         headers = {"If-None-Match": "*"}
         return self._write(key, value, headers, step="create")
 
     def update(self, key: str, value: bytes, version: int) -> int:
-        """Replace the value that stands at a version and return the new version.
+        """Replace the value at a known version and return the new version.
 
         Raises
         ------
         errors.Conflict
-            If another version stands there; nothing was written.
+            If the key has another version; nothing was written.
         errors.StoreUnavailable
-            If no answer came; the write may have taken effect.
+            If no response arrives; the write may have taken effect.
         """
         headers = {"If-Match": f'"{version}"'}
         return self._write(key, value, headers, step="update")
 
     def delete(self, key: str, version: int) -> None:
-        """Delete the value that stands at a version."""
+        """Delete the value at a known version."""
         headers = {"If-Match": f'"{version}"'}
-        self._call("DELETE", self._path(key), headers=headers, step="delete")
+        self._call("DELETE", self._make_path(key), headers=headers, step="delete")
 
     def list_keys(self, prefix: str) -> dict[str, int]:
-        """Return the versions of all keys that begin with a prefix."""
+        """Return the versions of all keys with a prefix."""
         query = urllib.parse.urlencode({"prefix": prefix})
-        answer = self._call("GET", f"/list?{query}", step="list")
+        response = self._call("GET", f"/list?{query}", step="list")
         try:
-            entries = json.loads(answer.data)["keys"]
+            entries = json.loads(response.data)["keys"]
             return {str(entry["key"]): int(entry["version"]) for entry in entries}
         except (ValueError, KeyError, TypeError) as error:
-            raise self._unavailable("list", f"not a list of keys: {error!r}") from error
+            raise self._unavailable(
+                "list", f"malformed list of keys: {error!r}"
+            ) from error
 
     def close(self) -> None:
-        """Close the connections that are not in use."""
+        """Close the idle connections."""
         self._pool.clear()
 
-    def _path(self, key: str) -> str:
+    def _make_path(self, key: str) -> str:
         return f"/objects/{urllib.parse.quote(key)}"
 
     def _write(
         self, key: str, value: bytes, headers: dict[str, str], *, step: str
     ) -> int:
-        answer = self._call(
-            "PUT", self._path(key), headers=headers, body=value, step=step
+        response = self._call(
+            "PUT", self._make_path(key), headers=headers, body=value, step=step
         )
-        return self._version(answer)
+        return self._read_version(response)
 
-    def _version(self, answer: urllib3.BaseHTTPResponse) -> int:
+    def _read_version(self, response: urllib3.BaseHTTPResponse) -> int:
         try:
-            return int(answer.headers.get("ETag", "").strip('"'))
+            return int(response.headers.get("ETag", "").strip('"'))
         except ValueError as error:
-            raise self._unavailable("read version", "no version in ETag") from error
+            raise self._unavailable(
+                "read version", "the ETag header holds no version"
+            ) from error
 
     def _call(
         self,
@@ -141,10 +147,10 @@
         wait: float = 0.0,
     ) -> urllib3.BaseHTTPResponse:
         timeout = urllib3.Timeout(
-            connect=CONNECT_SECONDS, read=wait + self._answer_seconds
+            connect=CONNECT_SECONDS, read=wait + self._read_timeout
         )
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 method,
                 f"http://{self.address}{path}",
                 headers=headers,
@@ -152,19 +158,21 @@
                 timeout=timeout,
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise self._unavailable(step, f"no answer: {error}") from error
-        self._check(answer, path, step)
-        return answer
-
-    def _check(self, answer: urllib3.BaseHTTPResponse, path: str, step: str) -> None:
-        if answer.status < 300 or answer.status == 304:
+            raise self._unavailable(step, f"no response: {error}") from error
+        self._raise_for_status(response, path, step)
+        return response
+
+    def _raise_for_status(
+        self, response: urllib3.BaseHTTPResponse, path: str, step: str
+    ) -> None:
+        if response.status < 300 or response.status == 304:
             return
-        message = f"{path} answered {answer.status}"
-        if answer.status == 404:
+        message = f"{path} answered {response.status}"
+        if response.status == 404:
             raise errors.NotFound(message, step=step, peer=self.address)
-        if answer.status == 412:
+        if response.status == 412:
             raise errors.Conflict(message, step=step, peer=self.address)
-        if answer.status >= 500:
+        if response.status >= 500:
             raise self._unavailable(step, message)
         raise errors.StoreError(message, step=step, peer=self.address)
 
--- a/celeryspan/adapters/vmlist.py
+++ b/celeryspan/adapters/vmlist.py
@@ -1,4 +1,4 @@
-"""Client of the platform's list of VMs."""
+"""Client for the platform's VM list."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from celeryspan import errors, states
 
 TIMEOUT = urllib3.Timeout(connect=1.0, read=3.0)
-"""As for the object API, which stands at the same address."""
+"""As for the object API, which has the same address."""
 
 
 class ListedVM(msgspec.Struct, frozen=True):
-    """One VM as the platform lists it."""
+    """A VM in the platform's list."""
 
     name: str
     address: str
@@ -29,23 +29,23 @@
         self._pool = urllib3.PoolManager(maxsize=1, retries=False)
 
     def read(self) -> list[ListedVM]:
-        """Return the list as the platform has it, late as it may be.
+        """Return the platform's list, which may lag behind the actual state.
 
         Raises
         ------
         errors.StoreUnavailable
-            If no list came.
+            If no valid list arrives.
         """
         try:
             url = f"http://{self._address}/vms"
-            answer = self._pool.request("GET", url, timeout=TIMEOUT)
-            if answer.status != 200:
-                raise ValueError(f"status {answer.status}")
+            response = self._pool.request("GET", url, timeout=TIMEOUT)
+            if response.status != 200:
+                raise ValueError(f"status {response.status}")
             return [
                 ListedVM(vm["name"], vm["address"], states.ServerState(vm["state"]))
-                for vm in json.loads(answer.data)["vms"]
+                for vm in json.loads(response.data)["vms"]
             ]
         except (urllib3.exceptions.HTTPError, ValueError, KeyError, TypeError) as error:
             raise errors.StoreUnavailable(
-                f"no list of VMs: {error}", step="read", peer=self._address
+                f"cannot read the VM list: {error}", step="read", peer=self._address
             ) from error
--- a/celeryspan/services/backends.py
+++ b/celeryspan/services/backends.py
@@ -59,7 +59,7 @@
         self._configuration = box.find("configuration")
         self._lock = threading.Lock()
         self._idle: dict[
-            ids.ServerId, collections.deque[tuple[float, backend.Link]]
+            ids.ServerId, collections.deque[tuple[float, backend.Connection]]
         ] = {}
         self._opened = 0
         self._reused = 0
@@ -81,7 +81,7 @@
             idle = {server: len(links) for server, links in self._idle.items()}
         return {"opened": self._opened, "reused": self._reused, "idle": idle}
 
-    def connect(self, server: ids.ServerId, *, fresh: bool) -> backend.Link:
+    def connect(self, server: ids.ServerId, *, fresh: bool) -> backend.Connection:
         """Return an open link; no byte of a request has been sent on it.
 
         Parameters
@@ -104,7 +104,7 @@
             self._reused += 1
         return link
 
-    def keep(self, link: backend.Link) -> None:
+    def keep(self, link: backend.Connection) -> None:
         """Keep a link whose last answer has been read to its end."""
         if not link.is_connected:
             link.close()
@@ -116,7 +116,7 @@
         if surplus is not None:
             surplus.close()
 
-    def _take_idle(self, server: ids.ServerId) -> backend.Link | None:
+    def _take_idle(self, server: ids.ServerId) -> backend.Connection | None:
         while True:
             with self._lock:
                 links = self._idle.get(server)
@@ -127,9 +127,9 @@
                 return link
             link.close()
 
-    def _open(self, server: ids.ServerId) -> backend.Link:
+    def _open(self, server: ids.ServerId) -> backend.Connection:
         host, port = self._find_address(server)
-        link = backend.Link(
+        link = backend.Connection(
             host,
             port,
             timeout=CONNECT_SECONDS,
@@ -163,14 +163,14 @@
         return ids.Address.parse(entry.address)
 
 
-def set_timeout(link: backend.Link, seconds: float) -> None:
+def set_timeout(link: backend.Connection, seconds: float) -> None:
     """Set how long a link may be silent."""
     link.timeout = seconds
     if link.sock is not None:
         link.sock.settimeout(seconds)
 
 
-def abort(link: backend.Link) -> None:
+def abort(link: backend.Connection) -> None:
     """Wake the thread that reads from a link; it meets an end of file."""
     sock = link.sock
     if sock is None:
--- a/celeryspan/services/forwarding.py
+++ b/celeryspan/services/forwarding.py
@@ -23,7 +23,9 @@
 # hears "unknown" and may ask again with the same name.
 ANSWER_SECONDS = 30.0
 
-NOT_PASSED_ON = frozenset({"host", "content-length", "expect"}) | plain.HOP_HEADERS
+NOT_PASSED_ON = (
+    frozenset({"host", "content-length", "expect"}) | plain.HOP_BY_HOP_HEADERS
+)
 
 
 class Forwarding:
@@ -61,7 +63,7 @@
             raise make_gone(owner, f"did not answer: {error!r}") from error
         return _pass_back(link, response)
 
-    def _connect(self, owner: claims.Owner) -> backend.Link:
+    def _connect(self, owner: claims.Owner) -> backend.Connection:
         member = self._membership.find(owner.router)
         if (
             member is None
@@ -72,8 +74,8 @@
         # One that is suspected or leaving is asked: it still answers for its names.
         return self._open(owner, member.caller_address)
 
-    def _open(self, owner: claims.Owner, address: ids.Address) -> backend.Link:
-        link = backend.Link(
+    def _open(self, owner: claims.Owner, address: ids.Address) -> backend.Connection:
+        link = backend.Connection(
             address.host,
             address.port,
             timeout=backends.CONNECT_SECONDS,
@@ -86,7 +88,7 @@
         return link
 
     def _send(
-        self, link: backend.Link, found: exchange.Exchange, call: calls.Call
+        self, link: backend.Connection, found: exchange.Exchange, call: calls.Call
     ) -> urllib3.BaseHTTPResponse:
         left = call.deadline - time.monotonic()
         backends.set_timeout(link, min(ANSWER_SECONDS, max(left, 0.1)))
@@ -110,7 +112,7 @@
         return link.getresponse()
 
 
-def _pass_back(link: backend.Link, response: urllib3.BaseHTTPResponse) -> object:
+def _pass_back(link: backend.Connection, response: urllib3.BaseHTTPResponse) -> object:
     cherrypy.response.status = response.status
     headers = cherrypy.response.headers
     headers.pop("Content-Type", None)
--- a/celeryspan/services/plaincalls.py
+++ b/celeryspan/services/plaincalls.py
@@ -97,7 +97,9 @@
 
 def _select_headers(found: exchange.Exchange) -> Iterator[tuple[str, str]]:
     listed = found.headers.get("Connection", "").lower().split(",")
-    dropped = plain.HOP_HEADERS | ROUTER_HEADERS | {name.strip() for name in listed}
+    dropped = (
+        plain.HOP_BY_HOP_HEADERS | ROUTER_HEADERS | {name.strip() for name in listed}
+    )
     for name, value in found.headers.items():
         if name.lower() not in dropped:
             yield name, value
--- a/celeryspan/services/runs.py
+++ b/celeryspan/services/runs.py
@@ -43,7 +43,7 @@
         self.progress = progress
         self.observation = observation
         self.name = name
-        self.link: backend.Link | None = None
+        self.link: backend.Connection | None = None
         self._started = time.monotonic()
         self.ended = False
 
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -44,7 +44,7 @@
     platform: store.Store, monkeypatch: pytest.MonkeyPatch
 ) -> store_adapter.StoreClient:
     monkeypatch.setattr(publishing, "READ_BACK_SECONDS", 0.001)
-    return store_adapter.StoreClient(str(platform.address), answer_seconds=5.0)
+    return store_adapter.StoreClient(str(platform.address), read_timeout=5.0)
 
 
 def test_generations_follow_each_other(client: store_adapter.StoreClient) -> None:
