--- a/bench/costs.py
+++ b/bench/costs.py
@@ -278,8 +278,8 @@
 
 def pass_datagram(action: statements.Send) -> tuple[tuple[messages.Message, ...], int]:
     """Seal and read a datagram; return what it says and its bytes with headers."""
-    data = proofs.seal(KEY, encode(*action.batch))
-    frame = codec.decode(proofs.unseal([KEY], data))
+    data = proofs.sign_datagram(KEY, encode(*action.batch))
+    frame = codec.decode(proofs.verify_datagram([KEY], data))
     return frame.messages, len(data) + DATAGRAM_BYTES
 
 
--- a/celeryspan/services/connections.py
+++ b/celeryspan/services/connections.py
@@ -90,7 +90,7 @@
             raise errors.LinkError(f"found router {sender}", step="prove", peer=peer)
         nonces = (nonce, hello.nonce)
         proofs.check_proof(keys, proof.digest, "accept", sender, nonces)
-        digest = proofs.prove(keys[0], "open", self._own[0], nonces)
+        digest = proofs.compute_proof(keys[0], "open", self._own[0], nonces)
         self._write_frame((messages.Proof(digest),))
         self.peer = peer
 
@@ -100,7 +100,7 @@
         hello = _find(frame, messages.Hello)
         nonce = os.urandom(proofs.NONCE_BYTES)
         nonces = (hello.nonce, nonce)
-        digest = proofs.prove(keys[0], "accept", self._own[0], nonces)
+        digest = proofs.compute_proof(keys[0], "accept", self._own[0], nonces)
         answer = (messages.Hello(PROTOCOL_VERSION, nonce), messages.Proof(digest))
         self._write_frame(answer)
         proof = _find(self._read_frame(), messages.Proof)
@@ -212,7 +212,7 @@
         not read stays in the outbox, where newer states replace older ones.
         """
         with lock:
-            batch = box.take(time.monotonic())
+            batch = box.take_batch(time.monotonic())
         now = time.monotonic()
         if batch:
             self._used = now
--- a/celeryspan/services/datagrams.py
+++ b/celeryspan/services/datagrams.py
@@ -56,7 +56,7 @@
         self._sequence += 1
         own = (self._identity.router, self._identity.incarnation)
         frame = messages.Frame(*own, self._sequence, tuple(batch))
-        datagram = proofs.seal(self._keys[0], codec.encode(frame))
+        datagram = proofs.sign_datagram(self._keys[0], codec.encode(frame))
         try:
             self._socket.sendto(datagram, address)
         except OSError:
@@ -80,7 +80,7 @@
     def _take(self, datagram: bytes, source: ids.Address) -> None:
         """Hand a datagram on; whatever is wrong with it ends here."""
         try:
-            frame = codec.decode(proofs.unseal(self._keys, datagram))
+            frame = codec.decode(proofs.verify_datagram(self._keys, datagram))
         except errors.LinkError as error:
             self._traffic.refuse()
             events.log(events.Event.LINK_REFUSED, peer=str(source), error=str(error))
--- a/celeryspan/services/links.py
+++ b/celeryspan/services/links.py
@@ -244,9 +244,9 @@
             if peer.connection is connection:
                 peer.connection = None
             if reason == "idle":
-                peer.outbox.settle()
+                peer.outbox.discard_sent()
             else:
-                peer.outbox.restore(time.monotonic())
+                peer.outbox.requeue_sent(time.monotonic())
         connection.release()
         events.log(events.Event.LINK_CLOSED, peer=name, reason=reason)
         self._reopen(name)
--- a/celeryspan/services/traffic.py
+++ b/celeryspan/services/traffic.py
@@ -29,7 +29,7 @@
         share = max(0, size - sum(bodies)) / max(1, len(batch))
         with self._lock:
             for message, body in zip(batch, bodies, strict=True):
-                key = (direction, codec.name_kind(type(message)))
+                key = (direction, codec.metric_name(type(message)))
                 self._messages[key] += 1
                 self._bytes[key] += min(size, round(share + body))
 
--- a/celeryspan/wire/__init__.py
+++ b/celeryspan/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between routers and their codec."""
+"""Messages between routers, their encoding and their authentication."""
--- a/celeryspan/wire/codec.py
+++ b/celeryspan/wire/codec.py
@@ -1,8 +1,8 @@
-"""Frames to bytes and back, by Cap'n Proto's packed encoding.
+"""Encodes and decodes frames in Cap'n Proto's packed encoding.
 
-The schema is loaded at run time, so that no generator is needed. Fields are copied by
-name between the typed messages and the schema; each text (ids, states, addresses)
-stands once in a frame and is named by its place.
+The schema is loaded at run time, which avoids a code generator. Fields are copied by
+name between the typed messages and the schema. Strings (ids, states, addresses) are
+stored once per frame, in a string table, and referenced by index.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from celeryspan.wire import messages
 
 FRAME_BYTES_MAX = 4_194_304
-"""Greatest encoded frame, in bytes: a compressed configuration of 10,000 servers is
-a twentieth of it."""
+"""Limit of an encoded frame; a compressed configuration of 10,000 servers takes a
+twentieth of it."""
 
-READ_WORDS_MAX = 1_048_576
-"""Greatest frame after unpacking, in words of 8 bytes: packed zeros shrink a thousand
-times, so that a small hostile frame could otherwise fill the memory."""
+UNPACKED_WORDS_MAX = 1_048_576
+"""Limit of an unpacked frame, in words of 8 bytes. Packing shrinks zeros a thousand
+times, so a small malicious frame could otherwise exhaust the memory."""
 
 SEPARATOR = "\0"
 
@@ -38,7 +38,7 @@
 def register_converter(
     *types: object,
 ) -> Callable[[Callable[[], tuple[Encode, Decode]]], object]:
-    """Put the pair of functions that carry values of some types into the registry."""
+    """Register the encoder and decoder made by a function for some types."""
 
     def decorate(make: Callable[[], tuple[Encode, Decode]]) -> object:
         for each in types:
@@ -49,16 +49,16 @@
 
 
 def encode(frame: messages.Frame) -> bytes:
-    """Return the bytes of a frame.
+    """Encode a frame.
 
     Raises
     ------
     ValueError
-        If a text holds the separator, or a number does not fit its field.
+        If a string contains the separator, or a number does not fit its field.
     """
-    places: dict[str, int] = {}
+    indexes: dict[str, int] = {}
     builder = _schema().Frame.new_message()
-    builder.sender = _place(frame.sender, places)
+    builder.sender = _intern(frame.sender, indexes)
     builder.incarnation = frame.incarnation
     builder.sequence = frame.sequence
     entries = builder.init("messages", len(frame.messages))
@@ -67,77 +67,78 @@
             kind, fields = _layouts()[type(message)]
             body = entry.init(kind)
             for name, wire_name, (to_wire, _) in fields:
-                setattr(body, wire_name, to_wire(getattr(message, name), places))
+                setattr(body, wire_name, to_wire(getattr(message, name), indexes))
     except (capnp.KjException, OverflowError) as error:
         raise ValueError(f"a message does not fit the schema: {error}") from error
-    builder.texts = SEPARATOR.join(places).encode()
+    builder.texts = SEPARATOR.join(indexes).encode()
     return builder.to_bytes_packed()
 
 
 def decode(data: bytes) -> messages.Frame:
-    """Read a frame; messages of unknown kinds and states are left out.
+    """Decode a frame; messages of unknown kinds or with unknown states are skipped.
 
     Raises
     ------
     errors.LinkError
-        If the bytes are not a frame.
+        If the data is not a valid frame.
     """
     if len(data) > FRAME_BYTES_MAX:
-        raise errors.LinkError("the frame is too long", step="decode")
+        raise errors.LinkError(
+            f"the frame exceeds {FRAME_BYTES_MAX} bytes", step="decode"
+        )
     try:
-        return _read_frame(data)
+        return _decode_frame(data)
     except (capnp.KjException, ValueError, IndexError) as error:
-        raise errors.LinkError(f"not a frame: {error}", step="decode") from error
+        raise errors.LinkError(f"malformed frame: {error}", step="decode") from error
 
 
-def name_kind(kind: type) -> str:
-    """Return the name of a kind of message in metrics, such as ``grant_used``."""
-    return _snake(kind.__name__)
+def metric_name(kind: type) -> str:
+    """Return the metrics label of a message type, such as ``grant_used``."""
+    return _to_snake_case(kind.__name__)
 
 
-def _read_frame(data: bytes) -> messages.Frame:
+def _decode_frame(data: bytes) -> messages.Frame:
     reader = _schema().Frame.from_bytes_packed(
-        data, traversal_limit_in_words=READ_WORDS_MAX
+        data, traversal_limit_in_words=UNPACKED_WORDS_MAX
     )
-    texts = bytes(reader.texts).decode().split(SEPARATOR)
+    strings = bytes(reader.texts).decode().split(SEPARATOR)
     found = []
     for entry in reader.messages:
-        message = _read_message(entry, texts)
+        message = _decode_message(entry, strings)
         if message is not None:
             found.append(message)
     return messages.Frame(
-        sender=ids.RouterId(texts[reader.sender]),
+        sender=ids.RouterId(strings[reader.sender]),
         incarnation=ids.Incarnation(reader.incarnation),
         sequence=reader.sequence,
         messages=tuple(found),
     )
 
 
-def _read_message(entry: typing.Any, texts: list[str]) -> messages.Message | None:
-    """Read one union member.
+def _decode_message(entry: typing.Any, strings: list[str]) -> messages.Message | None:
+    """Decode one union member, or return None if this version does not know it.
 
-    A newer router sends members and states that this version does not know; without
-    the two guards its whole frame would be refused, and a rolling upgrade would cut
-    the fleet in two.
+    A newer router may send unknown members and states. Rejecting its whole frame would
+    partition the fleet during a rolling upgrade.
     """
     try:
         kind = entry.which()
     except capnp.KjException:
         return None
-    make, fields = _makers()[str(kind)]
+    message_type, fields = _message_types()[str(kind)]
     body = getattr(entry, str(kind))
     try:
         values = [
-            from_wire(getattr(body, wire_name), texts)
+            from_wire(getattr(body, wire_name), strings)
             for _, wire_name, (_, from_wire) in fields
         ]
     except _UnknownState:
         return None
-    return make(*values)
+    return message_type(*values)
 
 
 class _UnknownState(Exception):
-    """A state that this version does not know."""
+    """The state is unknown to this version."""
 
 
 Fields = list[tuple[str, str, tuple[Encode, Decode]]]
@@ -155,12 +156,15 @@
 def _layouts() -> dict[type, tuple[str, Fields]]:
     layouts = {}
     for kind in typing.get_args(messages.Message):
-        layouts[kind] = (_camel(_snake(kind.__name__)), _list_fields(kind))
+        layouts[kind] = (
+            _to_camel_case(_to_snake_case(kind.__name__)),
+            _list_fields(kind),
+        )
     return layouts
 
 
 @functools.cache
-def _makers() -> dict[str, tuple[type, Fields]]:
+def _message_types() -> dict[str, tuple[type, Fields]]:
     return {name: (kind, fields) for kind, (name, fields) in _layouts().items()}
 
 
@@ -176,27 +180,30 @@
 
 def _list_fields(kind: type) -> Fields:
     hints = typing.get_type_hints(kind)
-    return [(name, _camel(name), _find_converter(hint)) for name, hint in hints.items()]
+    return [
+        (name, _to_camel_case(name), _find_converter(hint))
+        for name, hint in hints.items()
+    ]
 
 
 def _make_list_converter(kind: type) -> tuple[Encode, Decode]:
-    """Return the converter of a tuple of values of one class."""
+    """Return the converter for a tuple of instances of a class."""
     fields = _list_fields(kind)
 
-    def write(items: tuple, places: dict[str, int]) -> list[dict[str, object]]:
+    def write(items: tuple, indexes: dict[str, int]) -> list[dict[str, object]]:
         return [
             {
-                wire_name: to_wire(getattr(item, name), places)
+                wire_name: to_wire(getattr(item, name), indexes)
                 for name, wire_name, (to_wire, _) in fields
             }
             for item in items
         ]
 
-    def read(entries: typing.Any, texts: list[str]) -> tuple:
+    def read(entries: typing.Any, strings: list[str]) -> tuple:
         return tuple(
             kind(
                 *(
-                    from_wire(getattr(entry, wire_name), texts)
+                    from_wire(getattr(entry, wire_name), strings)
                     for _, wire_name, (_, from_wire) in fields
                 )
             )
@@ -206,30 +213,30 @@
     return write, read
 
 
-def _place(text: str, places: dict[str, int]) -> int:
-    place = places.get(text)
-    if place is None:
+def _intern(text: str, indexes: dict[str, int]) -> int:
+    index = indexes.get(text)
+    if index is None:
         if SEPARATOR in text:
-            raise ValueError(f"a text holds the separator: {text!r}")
-        place = places[text] = len(places)
-    return place
+            raise ValueError(f"the string contains the separator: {text!r}")
+        index = indexes[text] = len(indexes)
+    return index
 
 
 def _make_state_converter(kind: type[enum.Enum]) -> tuple[Encode, Decode]:
     states = {state.value: state for state in kind}
 
-    def read(place: int, texts: list[str]) -> enum.Enum:
-        state = states.get(texts[place])
+    def read(index: int, strings: list[str]) -> enum.Enum:
+        state = states.get(strings[index])
         if state is None:
-            raise _UnknownState(texts[place])
+            raise _UnknownState(strings[index])
         return state
 
-    return lambda state, places: _place(state.value, places), read
+    return lambda state, indexes: _intern(state.value, indexes), read
 
 
 @register_converter(str)
-def _make_text_converter() -> tuple[Encode, Decode]:
-    return _place, lambda place, texts: texts[place]
+def _make_string_converter() -> tuple[Encode, Decode]:
+    return _intern, lambda index, strings: strings[index]
 
 
 @register_converter(bool, int, float)
@@ -245,20 +252,20 @@
 @register_converter(ids.Address)
 def _make_address_converter() -> tuple[Encode, Decode]:
     return (
-        lambda address, places: _place(str(address), places),
-        lambda place, texts: ids.Address.parse(texts[place]),
+        lambda address, indexes: _intern(str(address), indexes),
+        lambda index, strings: ids.Address.parse(strings[index]),
     )
 
 
 @register_converter(tuple[tuple[ids.AccountId, float], ...])
-def _make_held_converter() -> tuple[Encode, Decode]:
+def _make_held_grants_converter() -> tuple[Encode, Decode]:
     return (
-        lambda grants, places: [
-            {"account": _place(account, places), "cost": cost}
+        lambda grants, indexes: [
+            {"account": _intern(account, indexes), "cost": cost}
             for account, cost in grants
         ],
-        lambda entries, texts: tuple(
-            (ids.AccountId(texts[entry.account]), entry.cost) for entry in entries
+        lambda entries, strings: tuple(
+            (ids.AccountId(strings[entry.account]), entry.cost) for entry in entries
         ),
     )
 
@@ -266,15 +273,17 @@
 @register_converter(tuple[ids.ServerId, ...])
 def _make_servers_converter() -> tuple[Encode, Decode]:
     return (
-        lambda servers, places: [_place(server, places) for server in servers],
-        lambda entries, texts: tuple(ids.ServerId(texts[entry]) for entry in entries),
+        lambda servers, indexes: [_intern(server, indexes) for server in servers],
+        lambda entries, strings: tuple(
+            ids.ServerId(strings[entry]) for entry in entries
+        ),
     )
 
 
-def _snake(name: str) -> str:
+def _to_snake_case(name: str) -> str:
     return re.sub(r"(?<=[a-z])(?=[A-Z])", "_", name).lower()
 
 
-def _camel(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     first, *rest = name.split("_")
     return first + "".join(part.capitalize() for part in rest)
--- a/celeryspan/wire/messages.py
+++ b/celeryspan/wire/messages.py
@@ -1,8 +1,8 @@
-"""Typed messages between routers.
+"""Message types exchanged between routers.
 
-Every message is a frozen value; the codec turns lists of them into frames. A message
-of a kind that this version does not know is skipped by the codec, so routers of two
-versions can work side by side during a rolling upgrade.
+Messages are immutable; the codec encodes lists of them into frames. It skips messages
+of types that this version does not know, so routers of two versions interoperate during
+a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What waits at a router for one service and client account.
+    """Requests waiting at a router for one service and client account.
 
-    The newest report replaces all older ones of the same router, service and account.
+    The newest report replaces older ones of the same router, service and account.
 
     Attributes
     ----------
     waiting : int
-        Requests in the queue that hold no grant; 0 withdraws the demand.
+        Number of queued requests without a grant; 0 withdraws the demand.
     oldest_age : float
-        Waiting time of the oldest of them, in seconds.
+        Waiting time of the oldest of these requests, in seconds.
     sequence : int
-        Grows with each report of this router, so that a late one is recognised.
+        Increases with each report of this router, so that late ones can be dropped.
     cost_estimate : float
         Mean estimated cost of the waiting requests, in cost units.
     """
@@ -38,14 +38,14 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """One slot of a backend server, given to a client account at a router.
+    """A slot of a backend server, granted to a client account at a router.
 
     Attributes
     ----------
     grant : GrantId
-        Unique within the home's incarnation.
+        Unique within the incarnation of the home router.
     valid_seconds : float
-        The request must be sent within this time of receipt.
+        The request must be sent within this time after receipt of the grant.
     """
 
     grant: ids.GrantId
@@ -56,7 +56,7 @@
 
 
 class GrantUsed(msgspec.Struct, frozen=True):
-    """The router sends a request with this grant now."""
+    """The router is sending a request under this grant."""
 
     grant: ids.GrantId
     server: ids.ServerId
@@ -65,7 +65,7 @@
 
 
 class GrantEnded(msgspec.Struct, frozen=True):
-    """The slot is free again; ``cost`` is the true cost, 0 if it was not used."""
+    """The slot is free again; ``cost`` is the actual cost, 0 if it was not used."""
 
     grant: ids.GrantId
     server: ids.ServerId
@@ -74,12 +74,12 @@
 
 
 class SlotsHeld(msgspec.Struct, frozen=True):
-    """All grants in use at a router for one server: lets a new home take over.
+    """All grants in use at a router for one server, needed by a new home.
 
     Attributes
     ----------
     grants : tuple of (account, cost estimate)
-        One entry per request in progress.
+        One entry for each request in progress.
     """
 
     server: ids.ServerId
@@ -87,10 +87,10 @@
 
 
 class Counter(msgspec.Struct, frozen=True):
-    """Service given by one router incarnation to an account, in cost units so far.
+    """Service that an account has received through one router incarnation.
 
-    Counters only grow, so that merging by maximum makes late, doubled and reordered
-    messages harmless.
+    Counts cost units and only increases. Counters merge by maximum, so late, duplicate
+    or reordered messages have no effect.
     """
 
     router: ids.RouterId
@@ -101,13 +101,13 @@
 
 
 class Lift(msgspec.Struct, frozen=True):
-    """The start that an account was given when it became backlogged.
+    """The initial level of an account, set when it became backlogged.
 
     Attributes
     ----------
     level : float
-        Added to what the account has received, in cost units per weight. It only
-        grows and merges by maximum.
+        Added to the service that the account has received, in cost units per weight.
+        It only increases and merges by maximum.
     """
 
     service: ids.ServiceId
@@ -116,14 +116,15 @@
 
 
 class Pending(msgspec.Struct, frozen=True):
-    """What the slots held under the grants of one home are charged.
+    """The charge for the slots held under the grants of one home.
 
     Attributes
     ----------
     units : float
-        Slots times the charge for one, in cost units; 0 once none is held.
+        Number of slots times the charge per slot, in cost units; 0 if none is held.
     sequence : int
-        Grows with each message of the home's incarnation; the newest wins.
+        Increases with each message of the home's incarnation; the newest replaces
+        older ones.
     """
 
     service: ids.ServiceId
@@ -133,7 +134,7 @@
 
 
 class Total(msgspec.Struct, frozen=True):
-    """Units that an account received from incarnations that are gone."""
+    """Cost units that an account received through incarnations that are gone."""
 
     service: ids.ServiceId
     account: ids.AccountId
@@ -141,14 +142,14 @@
 
 
 class Gone(msgspec.Struct, frozen=True):
-    """The highest incarnation of a router whose counters are in the totals."""
+    """The highest incarnation of a router whose counters are included in the totals."""
 
     router: ids.RouterId
     incarnation: ids.Incarnation
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What a new home must know about service received, from one peer."""
+    """Service received, as known to one peer; sent to a new home."""
 
     counters: tuple[Counter, ...]
     lifts: tuple[Lift, ...]
@@ -157,14 +158,14 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """What the sender believes about one router; rides on probes.
+    """The state of a router as seen by the sender; piggybacked on probes.
 
     Attributes
     ----------
     cores : float
-        Processor time of its VM.
+        Processor capacity of its VM, in cores.
     is_busy : bool
-        Whether its processor has no time left.
+        Whether its processor is saturated.
     """
 
     router: ids.RouterId
@@ -180,12 +181,12 @@
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """Ask a member whether it is alive.
+    """Asks a member whether it is alive.
 
     Attributes
     ----------
     digest : int
-        Of all that the sender believes about members; 0 if it does not say.
+        Hash of the sender's view of all members; 0 if it sends none.
     """
 
     sequence: int
@@ -193,21 +194,21 @@
 
 
 class ProbeRequest(msgspec.Struct, frozen=True):
-    """Ask a member to probe a third one that did not answer."""
+    """Asks a member to probe another one that did not respond."""
 
     sequence: int
     target: ids.RouterId
 
 
 class Ack(msgspec.Struct, frozen=True):
-    """Answer to a probe, direct or passed on for ``subject``."""
+    """Response to a probe, direct or relayed for ``subject``."""
 
     sequence: int
     subject: ids.RouterId
 
 
 class ServerFact(msgspec.Struct, frozen=True):
-    """A backend server is leaving, or is back; spreads faster than the VM list."""
+    """A backend server is leaving or has returned; faster than the VM list."""
 
     server: ids.ServerId
     state: states.ServerState
@@ -215,12 +216,12 @@
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """What a router tells a home about the answers of a backend server.
+    """A router's verdict on a backend server, sent to the server's home.
 
     Attributes
     ----------
     is_failing : bool
-        Whether the router would give it no work; False takes that back.
+        Whether the router would stop using the server; False withdraws the vote.
     """
 
     server: ids.ServerId
@@ -228,19 +229,19 @@
 
 
 class ConfigurationOffer(msgspec.Struct, frozen=True):
-    """The generation that the sender has in force."""
+    """The generation of the sender's active configuration."""
 
     generation: ids.Generation
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True):
-    """Ask a peer for its configuration because its generation is higher."""
+    """Asks a peer for its configuration, which has a higher generation."""
 
     above: ids.Generation
 
 
 class ConfigurationValue(msgspec.Struct, frozen=True):
-    """A whole configuration, as it stands in the object API."""
+    """A complete configuration, as stored in the object API."""
 
     generation: ids.Generation
     body: bytes
@@ -252,9 +253,9 @@
     Attributes
     ----------
     version : int
-        Version of the protocol that the sender speaks.
+        Protocol version of the sender.
     nonce : bytes
-        Random, never used before; the other side's proof covers it.
+        Random and never reused; covered by the proof of the other side.
     """
 
     version: int
@@ -262,28 +263,28 @@
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """Keyed hash over both nonces: the sender knows a fleet key."""
+    """HMAC over both nonces; proves that the sender knows a fleet key."""
 
     digest: bytes
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """Nothing to say; the link works."""
+    """Keeps an idle link open."""
 
 
 class MembersRequest(msgspec.Struct, frozen=True):
-    """Ask for a :class:`Member` of each router that the receiver knows."""
+    """Asks for a :class:`Member` of each router that the receiver knows."""
 
 
 class Pressure(msgspec.Struct, frozen=True):
-    """What one router sees of one service, for the placement of model servers.
+    """Load of one service as seen by one router, for the placement of model servers.
 
     Attributes
     ----------
     waiting : int
-        Requests that wait at the sender.
+        Number of requests waiting at the sender.
     busy, slots : int
-        Slots in use and in all of the servers whose home the sender is.
+        Slots in use, and total slots, of the servers whose home is the sender.
     """
 
     service: ids.ServiceId
@@ -298,7 +299,7 @@
     Attributes
     ----------
     part : str
-        Names the part; equal names mean equal text after equal parts.
+        Identifies the part; equal names after equal parts mean equal text.
     """
 
     part: str
@@ -306,26 +307,26 @@
 
 
 class SlotRequest(msgspec.Struct, frozen=True):
-    """Ask the home of a pool for a place of one request at a backend server.
+    """Asks the home of a pool for a slot for one request at a backend server.
 
     Attributes
     ----------
     prompt_tokens, output_tokens : int
-        Length of the prompt and estimated length of the answer; 0 for plain services.
+        Prompt length and estimated output length; 0 for plain services.
     waited : float
-        Since the caller's request was read, in seconds.
+        Time since the caller's request was received, in seconds.
     objective, timeout : float
-        Latency objective, and time in which the request must end, both from the
-        moment at which it was read, in seconds.
+        Latency objective and time limit of the request, in seconds from its receipt.
     gap_max : float
-        Longest pause between events, in seconds.
+        Longest allowed gap between events, in seconds.
     stride : int
-        Tokens in one event.
+        Tokens per event.
     excluded : tuple of ServerId
-        Servers that have failed the request.
+        Servers at which the request has failed.
     isolation : int
-        Fingerprint of a request under which servers have crashed: it runs once at a
-        time, and at no server beside another such request. 0 for all others.
+        Fingerprint of a request during which servers have crashed, otherwise 0. Such a
+        request runs at most once at a time, and never beside another one of its kind
+        at the same server.
     """
 
     request: ids.RequestId
@@ -345,21 +346,21 @@
 
 
 class SlotCancel(msgspec.Struct, frozen=True):
-    """The request needs no place any more."""
+    """The request no longer needs a slot."""
 
     request: ids.RequestId
     pool: ids.PoolId
 
 
 class SlotOffer(msgspec.Struct, frozen=True):
-    """A place at a backend server; the router uses it or gives it back.
+    """A slot at a backend server; the router uses or releases it.
 
     Attributes
     ----------
     pressure : float
-        How long a request that comes now would wait in this pool, in seconds.
+        Expected wait of a new request in this pool, in seconds.
     source : ServerId
-        A server that keeps parts of the prompt, to be copied; empty for none.
+        A server with prompt parts in its cache, to be copied; empty for none.
     """
 
     request: ids.RequestId
@@ -370,16 +371,16 @@
 
 
 class SlotRefusal(msgspec.Struct, frozen=True):
-    """There is no place for the request in time.
+    """No slot becomes available for the request in time.
 
     Attributes
     ----------
     retry_after : float
-        Seconds after which a place is likely.
+        Time after which a slot is likely to be available, in seconds.
     reason : str
-        Stable machine-readable name.
+        Stable machine-readable reason code.
     pressure : float
-        As in an offer.
+        As in :class:`SlotOffer`.
     """
 
     request: ids.RequestId
@@ -390,14 +391,14 @@
 
 
 class RunHeld(msgspec.Struct, frozen=True):
-    """A request runs at a backend server; tells a new home of the pool.
+    """A request is running at a backend server; sent to a new home of the pool.
 
     Attributes
     ----------
     is_begun : bool
-        Whether its first event has come.
+        Whether its first event has arrived.
     isolation : int
-        As in its request.
+        As in :class:`SlotRequest`.
     """
 
     request: ids.RequestId
@@ -412,7 +413,7 @@
 
 
 class RunBegun(msgspec.Struct, frozen=True):
-    """The first event of a run has come."""
+    """The first event of a run has arrived."""
 
     request: ids.RequestId
     pool: ids.PoolId
@@ -420,7 +421,7 @@
 
 
 class RunMove(msgspec.Struct, frozen=True):
-    """A run is to go on at another backend server, where a place is held for it."""
+    """Moves a run to another backend server, where a slot is reserved for it."""
 
     request: ids.RequestId
     pool: ids.PoolId
@@ -429,12 +430,13 @@
 
 
 class RunMoved(msgspec.Struct, frozen=True):
-    """A run has moved, or stays where it was.
+    """The result of a :class:`RunMove`.
 
     Attributes
     ----------
     is_moved : bool
-        Whether the place at the server is free; else that at the target is.
+        Whether the run has moved, which frees the slot at the server; otherwise the
+        slot at the target is free.
     """
 
     request: ids.RequestId
@@ -445,15 +447,15 @@
 
 
 class RunEnded(msgspec.Struct, frozen=True):
-    """A place is free again.
+    """A run has ended and its slot is free.
 
     Attributes
     ----------
     ending : RunEnding
-        What it tells of the server.
+        How it ended, as evidence about the server.
     pause : float
-        Longest time between two events of the run's stream, in seconds; 0 if there was
-        no stream, or if it came from several servers.
+        Longest gap between two events of the stream, in seconds; 0 if there was no
+        stream or several servers produced it.
     """
 
     request: ids.RequestId
@@ -464,12 +466,12 @@
 
 
 class QueueAlive(msgspec.Struct, frozen=True):
-    """The home of a pool still holds requests of the receiver.
+    """The home of a pool still has requests of the receiver in its queue.
 
     Attributes
     ----------
     pressure : float
-        As in an offer.
+        As in :class:`SlotOffer`.
     """
 
     pool: ids.PoolId
@@ -477,22 +479,22 @@
 
 
 class AccountUnits(msgspec.Struct, frozen=True):
-    """Service that an account has begun to get lately, in tokens."""
+    """Service recently started for an account, in tokens."""
 
     account: ids.AccountId
     units: float
 
 
 class PoolShares(msgspec.Struct, frozen=True):
-    """What accounts have got in some shards of a service, told to another shard.
+    """Service of accounts in some shards of a service, sent to another shard.
 
     Attributes
     ----------
     pool : PoolId
-        The shard that is told.
+        The receiving shard.
     dimension : int
-        The shards differ in this bit of their numbers; the units are those of the
-        sender and of the shards that it hears of in lower dimensions.
+        The bit in which the numbers of the two shards differ. The units are those of
+        the sender and of the shards that report to it in lower dimensions.
     """
 
     pool: ids.PoolId
@@ -501,20 +503,20 @@
 
 
 class Strike(msgspec.Struct, frozen=True):
-    """A server crashed while a suspect ran there.
+    """A server crash during the run of a suspect request.
 
     Attributes
     ----------
     crash : str
-        Names the incarnation of the server.
+        Identifies the incarnation of the server.
     at_ms : int
-        When the crash was noticed first, in Unix milliseconds.
+        Time at which the crash was first detected, in Unix milliseconds.
     trial : int
-        One more than the crashes in a row that were known when the run was sent.
+        Number of consecutive crashes known when the run was sent, plus one.
     run_ms : int
-        From the beginning of the run to the crash, in milliseconds.
+        Time from the start of the run to the crash, in milliseconds.
     is_prompt : bool
-        Whether the crash followed soon after the beginning.
+        Whether the crash happened soon after the start of the run.
     """
 
     crash: str
@@ -525,17 +527,16 @@
 
 
 class Suspect(msgspec.Struct, frozen=True):
-    """What is known of one request under which servers have crashed.
+    """Crash history of one request during which servers have crashed.
 
-    Two of these about one request are merged; the order does not matter, nor whether
-    one comes twice.
+    Records of the same request are merged; merging is commutative and idempotent.
 
     Attributes
     ----------
     scope, whole : int
-        Its fingerprint.
+        The fingerprint of the request.
     acquitted_ms : int
-        Crashes up to then do not count against it, in Unix milliseconds.
+        Crashes up to this time are disregarded, in Unix milliseconds.
     """
 
     scope: int
@@ -545,12 +546,12 @@
 
 
 class SuspectsDigest(msgspec.Struct, frozen=True):
-    """A hash of all suspects that the sender knows.
+    """Hash of all suspects that the sender knows.
 
     Attributes
     ----------
     is_answer : bool
-        Whether it answers another one, so that no further one is due.
+        Whether it is the response to another digest, and so needs none itself.
     """
 
     digest: int
@@ -558,19 +559,19 @@
 
 
 class SuspectsStored(msgspec.Struct, frozen=True):
-    """The suspects with this digest are in the store, at this revision of it."""
+    """The suspects with this digest are stored, at this revision of the store."""
 
     digest: int
     revision: int
 
 
 class RelayRequest(msgspec.Struct, frozen=True):
-    """Asks a router to pass on objects of one kind for a while.
+    """Asks a router to relay objects of one kind for a limited time.
 
     Attributes
     ----------
     above : int
-        Revision that the sender has; 0 for none.
+        Latest revision known to the sender; 0 for none.
     """
 
     kind: str
@@ -578,20 +579,20 @@
 
 
 class RelayBatch(msgspec.Struct, frozen=True):
-    """Objects of one kind that changed between two revisions, or only a word of life.
+    """Changes to objects of one kind between two revisions; empty as a keepalive.
 
     Attributes
     ----------
     above, at : int
-        The changes lead from the first to the second.
+        Revisions before and after the changes.
     is_whole : bool
-        The changes are all objects there are.
+        Whether the batch contains all objects.
     age : float
-        How long ago the sender had an answer of the store, in seconds.
+        Time since the last response of the store to the sender, in seconds.
     is_away : bool
-        Whether the store does not answer the sender.
+        Whether the store is unreachable for the sender.
     body : bytes
-        The changes; empty if there are none.
+        The encoded changes; empty if there are none.
     """
 
     kind: str
@@ -647,12 +648,12 @@
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """Messages of one sender to one receiver.
+    """Messages from one sender to one receiver.
 
     Attributes
     ----------
     sequence : int
-        Grows with each frame of one incarnation to one receiver.
+        Increases with each frame of one incarnation to the same receiver.
     """
 
     sender: ids.RouterId
--- a/celeryspan/wire/outbox.py
+++ b/celeryspan/wire/outbox.py
@@ -1,10 +1,10 @@
-"""What waits to be sent to one peer, bounded whatever the peer does.
+"""Bounded queue of outgoing messages for one peer.
 
-Failure answered: a peer or the way to it is slow or silent for minutes. A plain queue
-grows until the memory is full, and when the peer is back it reads minutes of state
-that is no longer true. Here a newer state takes the place of the older one of the same
-key, and events that can't be replaced are few, short-lived and dropped oldest first;
-their senders cover the loss by expiry.
+A peer, or the network to it, may be slow or unresponsive for minutes. A plain queue
+would grow until the memory is exhausted, and the peer would then read minutes of
+outdated state. Here a newer state replaces the older one of the same key. Events, which
+cannot be replaced, are few and short-lived; the oldest is dropped first, and its sender
+recovers by expiry.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 from celeryspan.wire import messages
 
 STATES_MAX = 20_000
-"""Greatest number of states kept for one peer: 760 client accounts times 19 models
-make 14,440 counters, the greatest set that one router ever reports."""
+"""States kept for one peer. The largest set that a router reports is 14,440 counters,
+for 760 client accounts times 19 models."""
 
 EVENTS_MAX = 2_000
-"""Greatest number of events kept for one peer: at 108 requests a second and three
-events a request this is six seconds for a peer that takes all of them."""
+"""Events kept for one peer: six seconds at 108 requests per second and three events
+per request, if all go to the same peer."""
 
-GRANT_SECONDS = 0.5
-"""Greatest wait of a grant, in seconds. Its receiver counts its validity from receipt,
-so that a grant which waited longer would be used after its home has given the slot to
-another; the slot's window would be exceeded."""
+GRANT_WAIT_MAX_SECONDS = 0.5
+"""Older grants are dropped. The receiver counts the validity of a grant from receipt,
+so it would use an older one after the home has given the slot to another request, which
+would exceed the concurrency window of the server."""
 
 RESEND_SECONDS = 10.0
-"""States sent this long before a link failed may be lost and are sent again."""
+"""States sent within this time before a link failed may be lost and are sent again."""
 
 BATCH_MAX = 500
-"""Greatest number of messages in a frame: about 15 KB."""
+"""Messages in a frame, about 15 KB."""
 
 Key = tuple[Hashable, ...]
 KEYS: dict[type, Callable[[messages.Message], Key]] = {}
 
 
 def register_key(kind: type) -> Callable[[Callable], Callable]:
-    """Put the function that names the state of a kind of message into the registry."""
+    """Register the function that returns the state key of a message type."""
 
-    def decorate(name: Callable) -> Callable:
-        KEYS[kind] = name
-        return name
+    def decorate(key_of: Callable) -> Callable:
+        KEYS[kind] = key_of
+        return key_of
 
     return decorate
 
 
 class Outbox:
-    """Messages for one peer in the order in which they are to leave."""
+    """Outgoing messages for one peer, in sending order."""
 
     def __init__(self) -> None:
         self.dropped = 0
@@ -64,54 +64,57 @@
         return len(self._states) + len(self._events)
 
     def put(self, message: messages.Message, now: float) -> None:
-        """Add a message; a state takes the place of the older one of its key."""
-        name = KEYS.get(type(message))
-        if name is None:
+        """Add a message; a state replaces the older one of the same key."""
+        key_of = KEYS.get(type(message))
+        if key_of is None:
             self._events.append((now, message))
             if len(self._events) > EVENTS_MAX:
                 self._events.popleft()
                 self.dropped += 1
             return
-        key = (type(message), *name(message))
+        key = (type(message), *key_of(message))
         self._states[key] = message
         self._sent.pop(key, None)
         if len(self._states) > STATES_MAX:
             self._states.pop(next(iter(self._states)))
             self.dropped += 1
 
-    def take(self, now: float) -> tuple[messages.Message, ...]:
-        """Take the next batch: events first, since they soon expire."""
+    def take_batch(self, now: float) -> tuple[messages.Message, ...]:
+        """Remove and return the next batch, events first because they expire soon."""
         batch: list[messages.Message] = []
         while self._events and len(batch) < BATCH_MAX:
-            put_at, message = self._events.popleft()
-            if isinstance(message, messages.Grant) and now - put_at > GRANT_SECONDS:
+            queued_at, message = self._events.popleft()
+            if (
+                isinstance(message, messages.Grant)
+                and now - queued_at > GRANT_WAIT_MAX_SECONDS
+            ):
                 self.dropped += 1
                 continue
             batch.append(message)
         while self._states and len(batch) < BATCH_MAX:
             key = next(iter(self._states))
             message = self._states.pop(key)
-            self._remember(key, message, now)
+            self._record_sent(key, message, now)
             batch.append(message)
         return tuple(batch)
 
-    def restore(self, now: float) -> None:
-        """Put back the states that a failed link may have lost.
+    def requeue_sent(self, now: float) -> None:
+        """Queue the states again that a failed link may have lost.
 
-        A connection that something between the ends has forgotten takes bytes for
-        seconds and delivers none. Without this the peer would keep the state of
-        before, such as a demand that was withdrawn.
+        A connection that a middlebox has dropped accepts data for seconds without
+        delivering it. The peer would otherwise keep outdated state, such as a demand
+        that was withdrawn.
         """
         for key, (sent_at, message) in self._sent.items():
             if now - sent_at <= RESEND_SECONDS:
                 self._states.setdefault(key, message)
         self._sent.clear()
 
-    def settle(self) -> None:
-        """Forget what was sent: the peer had time enough to read it."""
+    def discard_sent(self) -> None:
+        """Discard the sent states, which the peer has had enough time to read."""
         self._sent.clear()
 
-    def _remember(self, key: Key, message: messages.Message, now: float) -> None:
+    def _record_sent(self, key: Key, message: messages.Message, now: float) -> None:
         self._sent[key] = (now, message)
         self._sent.move_to_end(key)
         while self._sent:
@@ -124,33 +127,33 @@
 @register_key(messages.Demand)
 @register_key(messages.Lift)
 @register_key(messages.Pending)
-def _name_demand(message: messages.Demand) -> Key:
+def _key_by_service_and_account(message: messages.Demand) -> Key:
     return (message.service, message.account)
 
 
 @register_key(messages.SlotsHeld)
-def _name_slots(message: messages.SlotsHeld) -> Key:
+def _key_slots_held(message: messages.SlotsHeld) -> Key:
     return (message.server,)
 
 
 @register_key(messages.Counter)
-def _name_counter(message: messages.Counter) -> Key:
+def _key_counter(message: messages.Counter) -> Key:
     return (message.router, message.service, message.account)
 
 
 @register_key(messages.Member)
-def _name_member(message: messages.Member) -> Key:
+def _key_member(message: messages.Member) -> Key:
     return (message.router,)
 
 
 @register_key(messages.ServerFact)
 @register_key(messages.Vote)
-def _name_server(message: messages.ServerFact) -> Key:
+def _key_by_server(message: messages.ServerFact) -> Key:
     return (message.server,)
 
 
 @register_key(messages.Pressure)
-def _name_service(message: messages.Pressure) -> Key:
+def _key_by_service(message: messages.Pressure) -> Key:
     return (message.service,)
 
 
@@ -159,5 +162,5 @@
 @register_key(messages.ConfigurationValue)
 @register_key(messages.MembersRequest)
 @register_key(messages.Snapshot)
-def _name_single(_: messages.Message) -> Key:
+def _key_single(_: messages.Message) -> Key:
     return ()
--- a/celeryspan/wire/peer.capnp
+++ b/celeryspan/wire/peer.capnp
@@ -1,9 +1,9 @@
 @0xd5c0a5be1f3a7c21;
-# Frames between routers. Fields and members are only ever added, with new numbers: an
-# older router reads what it knows, skips union members that it does not, and a newer
-# one finds defaults for what an older one did not send.
+# Frames between routers. For compatibility between versions, fields and union members
+# are only added, with new numbers: an older router skips unknown union members, and a
+# newer one reads defaults for fields that an older one did not send.
 #
-# A number of type Text below is the place of a text in `texts` of its frame.
+# A value of type Text is an index into the string table `texts` of its frame.
 
 using Text = UInt32;
 
@@ -11,7 +11,7 @@
   sender @0 :Text;
   incarnation @1 :UInt64;
   sequence @2 :UInt64;
-  texts @3 :Data;  # All texts of the frame, each once, separated by NUL.
+  texts @3 :Data;  # Distinct strings of the frame, separated by NUL.
   messages @4 :List(Message);
 }
 
--- a/celeryspan/wire/proofs.py
+++ b/celeryspan/wire/proofs.py
@@ -1,6 +1,6 @@
-"""How a router proves to a peer that it knows a fleet key.
+"""Authentication between routers by shared fleet keys.
 
-Two keys are valid while keys are rotated: the first signs, all are accepted.
+During a key rotation two keys are valid: the first one signs, both are accepted.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 NONCE_BYTES = 16
 TAG_BYTES = 16
-"""Length of the tag before a datagram: guessing it takes 2**127 datagrams."""
+"""Length of the tag of a datagram; guessing one takes 2**127 datagrams on average."""
 
 
-def prove(
+def compute_proof(
     key: str, role: str, sender: ids.RouterId, nonces: tuple[bytes, bytes]
 ) -> bytes:
-    """Return the keyed hash by which one side of a link proves the key.
+    """Return the HMAC with which one side of a link proves that it knows the key.
 
     Parameters
     ----------
     role : str
-        ``"open"`` or ``"accept"``. Without it a stranger could open a second link
-        and send a router's own proof back to it.
+        ``"open"`` or ``"accept"``. Without it an attacker could open a second link
+        and reflect a router's own proof to it.
     nonces : tuple of bytes
-        Of the opening and of the accepting side; never used twice, so that a proof
-        heard before is worth nothing.
+        Nonces of the opening and the accepting side. They are never reused, which
+        prevents replay of an earlier proof.
     """
     parts = (b"celeryspan link", role.encode(), sender.encode(), *nonces)
     text = b"".join(len(part).to_bytes(4, "big") + part for part in parts)
@@ -42,39 +42,39 @@
     sender: ids.RouterId,
     nonces: tuple[bytes, bytes],
 ) -> None:
-    """Check the other side's keyed hash.
+    """Verify the proof of the other side.
 
     Raises
     ------
     errors.LinkError
-        If no valid key gives this hash.
+        If the proof matches no fleet key.
     """
     for key in keys:
-        if hmac.compare_digest(prove(key, role, sender, nonces), digest):
+        if hmac.compare_digest(compute_proof(key, role, sender, nonces), digest):
             return
     raise errors.LinkError(
-        "the peer does not prove a fleet key", step="prove", peer=sender
+        "the peer's proof matches no fleet key", step="prove", peer=sender
     )
 
 
-def seal(key: str, data: bytes) -> bytes:
-    """Return a datagram with its tag before it."""
+def sign_datagram(key: str, data: bytes) -> bytes:
+    """Return a datagram: the data, prefixed with its tag."""
     return _tag(key, data) + data
 
 
-def unseal(keys: Sequence[str], datagram: bytes) -> bytes:
-    """Return the content of a datagram.
+def verify_datagram(keys: Sequence[str], datagram: bytes) -> bytes:
+    """Verify a datagram and return its data.
 
     Raises
     ------
     errors.LinkError
-        If no valid key gives its tag.
+        If the tag matches no fleet key.
     """
     tag, data = datagram[:TAG_BYTES], datagram[TAG_BYTES:]
     for key in keys:
         if hmac.compare_digest(_tag(key, data), tag):
             return data
-    raise errors.LinkError("the datagram has no valid tag", step="unseal")
+    raise errors.LinkError("the datagram's tag matches no fleet key", step="unseal")
 
 
 def _tag(key: str, data: bytes) -> bytes:
--- a/tests/services/test_membership.py
+++ b/tests/services/test_membership.py
@@ -81,12 +81,13 @@
 
     @hypothesis.given(strategies.binary(max_size=300), strategies.booleans())
     def send(data: bytes, proven: bool) -> None:
-        datagram = proofs.seal("secret", data) if proven else data
+        datagram = proofs.sign_datagram("secret", data) if proven else data
         channel.sendto(datagram, address)
 
     send()
     channel.sendto(
-        proofs.seal("secret", codec.encode(messages.Frame("x", 1, 1, ()))), address
+        proofs.sign_datagram("secret", codec.encode(messages.Frame("x", 1, 1, ()))),
+        address,
     )
     channel.close()
     other = fleet("b")
--- a/tests/wire/__init__.py
+++ b/tests/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the messages between routers."""
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames survive the wire; garbage and newer versions do no harm."""
+"""Frames round-trip; malformed and newer ones are handled."""
 
 from __future__ import annotations
 
@@ -93,13 +93,13 @@
     return messages.Frame(ids.RouterId("r-1"), ids.Incarnation(5), 8, items)
 
 
-def test_every_kind_survives_the_wire() -> None:
+def test_every_message_type_round_trips() -> None:
     frame = make_frame(*SAMPLES)
     assert {type(item) for item in SAMPLES} == set(codec._layouts())
     assert codec.decode(codec.encode(frame)) == frame
 
 
-def test_texts_are_sent_once_a_frame() -> None:
+def test_strings_are_encoded_once_per_frame() -> None:
     grant = SAMPLES[1]
     one = len(codec.encode(make_frame(grant)))
     ten = len(codec.encode(make_frame(*[grant] * 10)))
@@ -107,10 +107,10 @@
 
 
 def test_newer_kinds_and_states_are_skipped(tmp_path) -> None:
-    """In a rolling upgrade half the fleet speaks a newer version for a while.
+    """During a rolling upgrade, half of the fleet runs a newer version.
 
-    It sends a kind of message and a state of a server that this version has never
-    seen. If the whole frame were refused, the halves would hold each other dead.
+    It sends a message type and a server state that this version does not know. If whole
+    frames were rejected, each half would consider the other one dead.
     """
     source = codec.importlib.resources.files("celeryspan.wire") / "peer.capnp"
     newer = source.read_text().replace("0xd5c0a5be1f3a7c21", "0xd5c0a5be1f3a7c22")
@@ -131,7 +131,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=200))
-def test_garbage_is_a_link_error(data: bytes) -> None:
+def test_random_bytes_raise_link_error_or_decode(data: bytes) -> None:
     try:
         codec.decode(data)
     except errors.LinkError:
@@ -139,18 +139,18 @@
 
 
 @hypothesis.given(strategies.data())
-def test_damaged_frames_are_link_errors_or_frames(data) -> None:
-    damaged = bytearray(codec.encode(make_frame(*SAMPLES)))
+def test_corrupted_frames_raise_link_error_or_decode(data) -> None:
+    corrupted = bytearray(codec.encode(make_frame(*SAMPLES)))
     for _ in range(data.draw(strategies.integers(1, 4))):
-        place = data.draw(strategies.integers(0, len(damaged) - 1))
-        damaged[place] = data.draw(strategies.integers(0, 255))
+        index = data.draw(strategies.integers(0, len(corrupted) - 1))
+        corrupted[index] = data.draw(strategies.integers(0, 255))
     try:
-        codec.decode(bytes(damaged))
+        codec.decode(bytes(corrupted))
     except errors.LinkError:
         pass
 
 
-def test_a_small_frame_can_not_fill_the_memory() -> None:
+def test_small_frame_cannot_exhaust_the_memory() -> None:
     frame = make_frame(messages.ConfigurationValue(1, bytes(32 * 1024 * 1024)))
     data = codec.encode(frame)
     assert len(data) < codec.FRAME_BYTES_MAX
@@ -158,6 +158,6 @@
         codec.decode(data)
 
 
-def test_numbers_that_do_not_fit_are_refused() -> None:
+def test_out_of_range_numbers_are_rejected() -> None:
     with pytest.raises(ValueError, match="fit"):
         codec.encode(make_frame(messages.Probe(2**70)))
