--- a/celeryspan/services/httpserver.py
+++ b/celeryspan/services/httpserver.py
@@ -1,4 +1,4 @@
-"""An HTTP server on cheroot: one thread a request, limits on time and size."""
+"""An HTTP server based on cheroot: a thread per request, time and size limits."""
 
 from __future__ import annotations
 
@@ -17,37 +17,38 @@
 from celeryspan.decisions import descriptors
 from celeryspan.services import callerconnections, framing, sockets, streams
 
-# Headers of one request; the usual servers allow 8 to 64 KiB.
+# Maximum header size of one request; common servers allow 8 to 64 KiB.
 HEADER_BYTES_MAX = 32_768
 
-# A caller that neither sends nor takes a byte for so long is given up, in seconds.
-# Longer than any retransmission pause of a mobile network seen in practice (a few
-# seconds), short enough that a silent connection frees its thread soon.
+# Maximum time without progress on a caller's connection. Retransmission pauses of
+# mobile networks last a few seconds; a longer limit would keep threads of unresponsive
+# callers busy.
 CALLER_TIMEOUT_SECONDS = 10.0
 
-# Threads kept for answering "overloaded" while all others are busy.
+# Additional threads that only refuse requests while all others are busy.
 REFUSAL_THREADS = 32
 
-# Time in which a whole request must have been sent, in seconds: 4 MiB at 140 KB/s.
-# Without it a caller that sends a byte now and then would hold a thread for good.
+# Maximum time for receiving a whole request: 4 MiB at 140 KB/s. Without it a caller
+# that sends single bytes at long intervals would occupy a thread indefinitely.
 REQUEST_READ_SECONDS = 30.0
 
-# What is read and dropped after an early answer: enough for what is in flight.
+# Limits of the lingering close, which discards the data that is still in flight after
+# an early answer.
 LINGER_SECONDS = 0.5
 LINGER_READS_MAX = 64
 LINGER_READ_BYTES = 65_536
 
-# How often idle connections are looked at, in seconds; a stop waits for it twice.
+# Interval for closing expired idle connections; a stop waits up to two intervals.
 IDLE_CHECK_SECONDS = 0.5
 
-# Threads that wait for a next request once theirs is done, and for how long: to start
-# one for each request costs 0.1 ms.
+# Maximum number and lifetime of idle threads, which are reused because starting a
+# thread for each request costs 0.1 ms.
 IDLE_THREADS_MAX = 16
 IDLE_THREAD_SECONDS = 5.0
 
 LISTEN_BACKLOG = 512
 
-# Connections accepted in one go.
+# Maximum number of connections accepted before other events are handled.
 ACCEPT_BATCH_MAX = 64
 STOP_TIMEOUT_SECONDS = 2.0
 
@@ -58,11 +59,11 @@
     Attributes
     ----------
     overloaded : bool
-        All threads are busy; the application should refuse at once.
+        Whether all threads are busy, so that the application should refuse the request.
     has_unread_input : bool
-        The caller may still be sending when the connection is closed.
+        Whether the caller may still be sending when the connection is closed.
     request_began_at : float
-        When the request in progress began to come, on the monotonic clock, in seconds.
+        Monotonic time in seconds at which the current request started to arrive.
     """
 
     RequestHandlerClass = framing.Request
@@ -74,7 +75,7 @@
         self.request_began_at = time.monotonic()
 
     def communicate(self) -> bool:
-        """Serve one request; returns whether the connection stays open."""
+        """Serve one request and return whether the connection stays open."""
         self.server.close_watcher.set_read_deadline(self.socket, REQUEST_READ_SECONDS)
         try:
             return super().communicate()
@@ -82,14 +83,14 @@
             self.server.close_watcher.remove(self.socket)
 
     def mark_request_read(self) -> None:
-        """Note that the request has been read to its end."""
+        """Cancel the read deadline once the whole request has been read."""
         self.server.close_watcher.remove(self.socket)
 
     def close(self) -> None:
-        """Close, but let the caller read its last answer first.
+        """Close the connection, after discarding unread input if there may be any.
 
-        Closing a socket that holds unread bytes resets the connection, and the reset
-        destroys an answer that the caller has not read yet.
+        Closing a socket with unread data resets the connection, and the caller then
+        loses the part of the answer that it has not read yet.
         """
         if self.has_unread_input:
             self._linger()
@@ -103,11 +104,11 @@
                 if not self.socket.recv(LINGER_READ_BYTES):
                     return
         except OSError:
-            pass  # The caller is gone or goes on sending nothing.
+            pass  # The caller has disconnected or stopped sending.
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Hands the request to the application beside the usual environment."""
+    """Adds the HTTP request to the WSGI environment and runs cleanup callbacks."""
 
     def get_environ(self) -> dict[str, Any]:
         environ = super().get_environ()
@@ -115,18 +116,18 @@
         return environ
 
     def respond(self) -> None:
-        """Run the application, then the callbacks it left for the end, last first."""
+        """Run the application, then its cleanup callbacks in reverse order."""
         with contextlib.ExitStack() as stack:
             self.env["celeryspan.finally"] = stack
             super().respond()
 
 
 class _ThreadPool:
-    """Gives each request a thread of its own, up to a limit.
+    """Runs each request on its own thread, up to a limit.
 
-    cheroot's own pool lets requests wait unread when all threads are busy, so a
-    caller could not tell a full router from a dead one. Here those above the limit
-    reach the application marked as overloaded and are answered at once.
+    cheroot's own pool leaves requests unread when all threads are busy, so that callers
+    cannot tell an overloaded router from a dead one. This pool passes requests above
+    the limit to the application marked as overloaded, and they are refused at once.
     """
 
     def __init__(self, limit: int) -> None:
@@ -139,16 +140,16 @@
 
     @property
     def busy(self) -> int:
-        """Requests that are read or served now."""
+        """Number of requests being read or served."""
         return self._busy
 
     @property
     def idle(self) -> int:
-        """Threads that may still be started."""
+        """Number of further requests that can be served."""
         return max(self._limit - self._busy, 0)
 
     def start(self) -> None:
-        """Do nothing: threads start with their requests."""
+        """Do nothing: threads are started on demand."""
 
     def put(self, connection: Connection) -> None:
         """Serve the next request of a connection."""
@@ -169,12 +170,12 @@
         ).start()
 
     def stop(self, timeout: float | None = STOP_TIMEOUT_SECONDS) -> None:
-        """Wait for the requests in progress, up to a time in seconds."""
+        """Wait for the requests in progress, for at most ``timeout`` seconds."""
         with self._all_done:
             self._all_done.wait_for(lambda: self._busy == 0, timeout)
 
     def _run(self, connection: Connection | None) -> None:
-        """Serve one request after the other while there are any."""
+        """Serve requests until the thread has been idle for too long."""
         while connection is not None:
             self._serve(connection)
             with self._lock:
@@ -192,14 +193,15 @@
             if self._idle_count > 0:
                 self._idle_count -= 1
                 return None
-        return self._handoff.get()  # It was given to this thread as its time ended.
+        # A connection was assigned to this thread while its wait timed out.
+        return self._handoff.get()
 
     def _serve(self, connection: Connection) -> None:
         keep = False
         try:
             keep = connection.communicate()
         except OSError:
-            pass  # The caller is gone; there is nobody to tell.
+            pass  # The caller has disconnected.
         finally:
             with self._all_done:
                 self._busy -= 1
@@ -213,7 +215,7 @@
             else:
                 connection.close()
         except (OSError, ValueError, KeyError):
-            pass  # The server has stopped and closed its selector.
+            pass  # The server has been stopped and its selector closed.
 
 
 class Server(wsgi.Server):
@@ -222,18 +224,18 @@
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 lets the system choose.
+        Address to listen on; with port 0 the system selects a port.
     application : callable
         The WSGI application.
     threads : int
-        Greatest number of requests in progress.
+        Maximum number of requests in progress.
     body_bytes_max : int
-        Greatest body of a request.
+        Maximum size of a request body.
     log : callable
-        Takes the text of an error that the server itself meets.
+        Receives the text of each error of the server itself.
     connections_max : int, optional
-        Greatest number of connections; by default the callers' part of what the system
-        lets the process have.
+        Maximum number of connections; by default the callers' share of the process's
+        descriptor limit.
     """
 
     ConnectionClass = Connection
@@ -264,7 +266,7 @@
         if connections_max is None:
             connections_max = callerconnections.compute_budget().callers
         self._connections_max = connections_max
-        # Above it answers announce the end of their connections.
+        # Above this number answers carry "Connection: close".
         self.keep_alive_conn_limit = int(
             connections_max * descriptors.CLOSE_NOTICE_SHARE
         )
@@ -274,21 +276,21 @@
 
     @property
     def address(self) -> ids.Address:
-        """Where the server listens."""
+        """Address on which the server listens."""
         host, port = self.bind_addr[:2]
         return ids.Address(host, port)
 
     def count_connections(self) -> tuple[int, int]:
-        """Return how many connections wait for a request, and how many are served."""
+        """Return the numbers of idle connections and of those being served."""
         return max(0, self._connections._num_connections), self.requests.busy
 
     def open(self) -> None:
-        """Listen, and serve on a thread of its own.
+        """Bind the address and start the accepting thread.
 
         Raises
         ------
         OSError
-            If the address can't be listened on.
+            If the address cannot be bound.
         """
         self.close_watcher.start()
         self.prepare()
@@ -296,35 +298,35 @@
         self._thread.start()
 
     def prepare(self) -> None:
-        """Bind and listen; raises OSError if the address can't be listened on."""
+        """Bind and listen; raises OSError if the address cannot be bound."""
         super().prepare()
-        self._connections.close()  # The one of cheroot has no bound.
+        self._connections.close()  # cheroot's own manager has no bound.
         self._connections = callerconnections.CallerConnections(
             self, self._connections_max
         )
 
     def is_accepting_thread(self) -> bool:
-        """Whether the thread that accepts connections calls."""
+        """Return whether the calling thread is the accepting thread."""
         return threading.current_thread() is self._thread
 
     def process_conn(self, conn: Connection) -> None:
-        """Give a connection's request to a thread, and take in all that wait.
+        """Dispatch a connection to a thread and accept all pending connections.
 
-        cheroot accepts one connection each time that its thread has the processor.
-        With hundreds of busy threads that is once in a second, and callers meet a
-        full line of connections that nobody accepts.
+        cheroot accepts one connection each time its thread is scheduled. With hundreds
+        of busy threads that is about once a second, so that the listen backlog fills up
+        and callers cannot connect.
         """
         self.dispatch_connection(conn)
         if self.is_accepting_thread():
             self.accept_pending()
 
     def dispatch_connection(self, connection: Connection) -> None:
-        """Give the request that has come on a connection to a thread."""
+        """Serve the next request of a connection on a thread of the pool."""
         connection.request_began_at = time.monotonic()
         super().process_conn(connection)
 
     def accept_pending(self) -> None:
-        """Take in the connections that wait, up to a number."""
+        """Accept pending connections, at most ``ACCEPT_BATCH_MAX``."""
         for _ in range(ACCEPT_BATCH_MAX):
             if not sockets.has_pending_connection(self.socket):
                 return
@@ -334,10 +336,10 @@
             self._add_connection(accepted)
 
     def _add_connection(self, connection: Connection) -> None:
-        """Give a new connection to a thread once its caller sends something.
+        """Dispatch a new connection once its caller has sent data.
 
-        A caller that connects and sends nothing would hold a thread for half a minute;
-        some hundred of them would leave none for others.
+        Otherwise a caller that connects and sends nothing would occupy a thread for
+        half a minute, and a few hundred of them would occupy all threads.
         """
         if callerconnections.has_data(connection.socket):
             self.dispatch_connection(connection)
@@ -345,10 +347,10 @@
             self.put_conn(connection)
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that are open are served on.
+        """Stop accepting connections; open ones are still served.
 
-        Connections that the system has accepted and this process has not are taken
-        first: their callers may have sent a request already.
+        Connections in the listen backlog are accepted first, because their callers may
+        have sent requests already.
         """
         manager = self._connections
         manager._selector.unregister(self.socket.fileno())
@@ -358,7 +360,7 @@
         self.socket.close()
 
     def shut_down(self) -> None:
-        """Stop listening and wait a moment for requests in progress."""
+        """Stop the server and wait briefly for requests in progress."""
         self.stop()
         if self._thread is not None:
             self._thread.join(STOP_TIMEOUT_SECONDS)
@@ -367,9 +369,10 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Pass an error of cheroot on to the log, with its reason.
+        """Log an error reported by cheroot, with the current exception.
 
-        A listener that can't accept fails again at once, some thousand times a second.
+        Equal messages are throttled: a listener that cannot accept connections fails
+        thousands of times a second.
         """
         error = sys.exc_info()[1]
         text = f"{msg}: {error!r}" if error is not None else str(msg)
