--- a/celeryspan/services/callerconnections.py
+++ b/celeryspan/services/callerconnections.py
@@ -1,9 +1,9 @@
-"""The idle connections of callers, within what the process may have open.
+"""Bounds the number of caller connections and closes idle ones near the bound.
 
-Failure answered: a listener that has no descriptor for a new connection. cheroot's own
-manager passes the error on and begins anew at once: the listener then fails more than
-100,000 times a second, and never comes to closing what has been idle for too long, so
-that the process does not recover when its callers have left.
+When the process runs out of file descriptors, cheroot's own connection manager reports
+the failed accept and retries at once. The listener then fails more than 100,000 times a
+second and never gets to close expired idle connections, so that the process does not
+recover even after its callers have left.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
     from celeryspan.services import httpserver
 
 EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-"""What accepting fails with when the process or the system has no room."""
+"""Errors of ``accept`` when the process or the system is out of resources."""
 
 ACCEPT_PAUSE_SECONDS = 0.01
-"""How long a listener rests that can neither accept nor give anything up: a request in
-progress ends meanwhile, and a core is not spent on failing."""
+"""Pause of a listener that can neither accept a connection nor close one, so that it
+does not occupy a core until a request in progress ends."""
 
 
 def compute_budget(configured: int = 0) -> descriptors.Budget:
-    """Return how many connections of each use this process may have.
+    """Return the maximum number of connections for each use in this process.
 
     Parameters
     ----------
     configured : int
-        How many descriptors the settings allow; 0 if they say nothing. The system's
-        limit holds in any case.
+        Maximum number of descriptors from the settings, 0 if not set. The system's
+        limit applies in any case.
     """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if configured:
@@ -46,12 +46,12 @@
 
 
 class CallerConnections(cheroot_connections.ConnectionManager):
-    """Keeps idle connections, and gives some up before there are too many.
+    """Manages idle connections and closes some of them when the bound is reached.
 
     Parameters
     ----------
     bound : int
-        Greatest number of connections, idle or in use.
+        Maximum number of connections, idle or in use.
     """
 
     def __init__(self, server: httpserver.Server, bound: int) -> None:
@@ -60,7 +60,7 @@
         self.closed_idle_count = 0
 
     def accept(self) -> httpserver.Connection | None:
-        """Take in one connection; None if there is none, or no room for it."""
+        """Accept one connection; None if none is pending or the bound is reached."""
         if self._num_connections + self.server.requests.busy >= self._bound:
             if not self._close_idle():
                 time.sleep(ACCEPT_PAUSE_SECONDS)
@@ -70,22 +70,22 @@
         except OSError as error:
             if error.errno not in EXHAUSTION_ERRNOS:
                 raise
-            self.server.error_log("no room for a connection")
+            self.server.error_log("out of resources for a new connection")
         if not self._close_idle():
             time.sleep(ACCEPT_PAUSE_SECONDS)
         return None
 
     def _from_server_socket(self, _: socket.socket) -> None:
-        """Take in all connections that wait, as cheroot asks for one of them."""
+        """Accept all pending connections when cheroot asks for one."""
         self.server.accept_pending()
 
     def _close_idle(self) -> int:
-        """Close some connections that wait for nothing; returns how many.
+        """Close some idle connections and return their number.
 
-        One on which bytes have come is not closed: its request would be lost.
+        Connections with unread data stay open, because their requests would be lost.
         """
         if not self.server.is_accepting_thread():
-            return 0  # Only the task that selects may take connections out.
+            return 0  # Only the accepting thread may modify the selector.
         idle = [
             (descriptor, connection)
             for descriptor, connection in self._selector.connections
@@ -107,12 +107,12 @@
 
 
 def has_data(sock: socket.socket) -> bool:
-    """Whether a connection can be read from without waiting."""
+    """Return whether a read from a socket would not block."""
     return not _find_without_data([sock.fileno()])
 
 
 def _find_without_data(candidates: list[int]) -> set[int]:
-    """Return the descriptors on which nothing has come, not even an end."""
+    """Return the descriptors with neither unread data nor an end of stream."""
     poll = select.poll()
     for descriptor in candidates:
         poll.register(descriptor, select.POLLIN)
