--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -1,4 +1,4 @@
-"""The kernel service ``caller``: the address at which callers are served."""
+"""The kernel service ``caller``: the HTTP API for callers."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 Handler = Callable[[exchange.Exchange], object]
 
-# Refused callers are told to come back within a time of this width, in seconds, so
-# that they do not all come in the same second.
+# Maximum random delay added to Retry-After, so that refused callers do not all retry
+# in the same second.
 RETRY_JITTER_SECONDS = 3.0
 
 APPLICATION_CONFIG = {
@@ -39,7 +39,7 @@
         "error_page.default": answers.render_error_page,
         "request.process_request_body": False,
         "request.show_tracebacks": False,
-        # Answers pass through as they are, whatever their type.
+        # Answer bodies are passed through without re-encoding.
         "tools.encode.on": False,
         "tools.trailing_slash.on": False,
     }
@@ -48,14 +48,14 @@
 
 @kernel.register("caller", needs=("claims", "configuration", "membership", "requests"))
 class Caller:
-    """Serves callers on an HTTP server of its own.
+    """Serves callers on a dedicated HTTP server.
 
     Attributes
     ----------
     in_progress : set of Exchange
-        The requests that are not yet answered to their end.
+        Requests whose answers are not yet fully written.
     draining : bool
-        Whether this router is left out of the address answer.
+        Whether this router omits its own address from ``/v1/addresses``.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
@@ -73,20 +73,20 @@
         self._server = self._make_server()
 
     def start(self) -> None:
-        """Listen; raises OSError if the address is taken."""
+        """Start the HTTP server; raises OSError if the address is in use."""
         self._server.open()
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Shut the HTTP server down."""
         self._server.shut_down()
 
     @property
     def address(self) -> ids.Address:
-        """Where callers are served."""
+        """Address on which the HTTP server listens."""
         return self._server.address
 
     def report(self) -> dict[str, object]:
-        """Return the state for the operator."""
+        """Return the state shown in the status report."""
         return {
             "address": str(self.address),
             "draining": self.draining,
@@ -94,11 +94,11 @@
         }
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections; open ones are still served."""
         self._server.stop_listening()
 
     def cancel_in_progress(self) -> list[str]:
-        """End what is in progress and return the ids of the requests."""
+        """Cancel all requests in progress and return their ids."""
         with self._lock:
             cancelled = list(self.in_progress)
         for item in cancelled:
@@ -106,7 +106,7 @@
         return [item.request for item in cancelled]
 
     def serve(self, handler: Handler) -> object:
-        """Run a handler on the current request and return the body of its answer."""
+        """Run a handler for the current request and return the answer's body."""
         http_exchange = exchange.Exchange(self.configuration.current())
         self._track(http_exchange)
         try:
@@ -132,7 +132,7 @@
             )
 
     def get_addresses(self, http_exchange: exchange.Exchange) -> object:
-        """Answer which routers to use."""
+        """Return router addresses and tickets for the caller."""
         count = read_ticket_count()
         if self.configuration.current() is None:
             raise make_starting_error()
@@ -152,7 +152,7 @@
         )
 
     def complete_chat(self, http_exchange: exchange.Exchange) -> object:
-        """Carry a chat request."""
+        """Run a chat request on a model engine."""
         call = chat.read_call(http_exchange)
         self._acquire_thread(http_exchange, call)
         http_exchange.watch_caller()
@@ -163,7 +163,7 @@
         )
 
     def call_service(self, http_exchange: exchange.Exchange) -> object:
-        """Carry a call to a plain service."""
+        """Run a call to a plain service."""
         call = plaincalls.read_call(http_exchange)
         self._acquire_thread(http_exchange, call)
         http_exchange.watch_caller()
@@ -174,7 +174,7 @@
         )
 
     def show_status(self, http_exchange: exchange.Exchange) -> object:
-        """Answer what each service of this router says of itself."""
+        """Return the report of each kernel service of this router."""
         operators.check_operator_key(http_exchange, self.settings)
         answers.set_outcome(http_exchange.request, states.Outcome.RAN)
         return answers.write_json(
@@ -186,7 +186,7 @@
         )
 
     def begin_drain(self, http_exchange: exchange.Exchange) -> object:
-        """Begin a graceful stop."""
+        """Start a graceful stop in the background."""
         operators.check_operator_key(http_exchange, self.settings)
         threading.Thread(target=self._box.find("drain").begin, name="drain").start()
         answers.set_outcome(http_exchange.request, states.Outcome.RAN)
@@ -194,7 +194,7 @@
         return answers.write_json({"draining": True})
 
     def show_metrics(self, http_exchange: exchange.Exchange) -> object:
-        """Answer the metrics in the text format."""
+        """Return the metrics in the Prometheus text format."""
         answers.set_outcome(http_exchange.request, states.Outcome.RAN)
         cherrypy.response.headers["Content-Type"] = metrics.CONTENT_TYPE
         return self._box.find("metrics").render()
@@ -223,7 +223,7 @@
 
     def _make_server(self) -> httpserver.Server:
         application = cherrypy.Application(paths.Root(self), "", APPLICATION_CONFIG)
-        # Requests are logged as numbered events.
+        # Requests are logged as events instead.
         application.log.access_log.disabled = True
         return httpserver.Server(
             ids.Address.parse(self.settings.caller_address),
@@ -237,17 +237,17 @@
 
 
 def read_ticket_count() -> int:
-    """Return how many tickets the caller asks for by ``?tickets=N``."""
+    """Return the number of tickets requested by ``?tickets=N``."""
     text = cherrypy.request.params.get("tickets", str(tickets.BATCH_SIZE_DEFAULT))
     if not isinstance(text, str) or not text.isdecimal() or len(text) > 3:
         raise exchange.make_refusal(
-            "expected a number of tickets", code="malformed", status=400
+            "tickets must be a number of at most 3 digits", code="malformed", status=400
         )
     return min(int(text), tickets.BATCH_SIZE_MAX)
 
 
 def make_starting_error() -> errors.NotRun:
-    """Return the answer of a fleet in which no router can serve yet."""
+    """Return the error for a router that has not loaded a configuration."""
     return errors.NotRun(
         "no router has a configuration yet",
         code="starting",
@@ -258,9 +258,9 @@
 
 
 def make_overload_error(code: str, jitter: float) -> errors.NotRun:
-    """Return the refusal of a router that has no thread for a request."""
+    """Return the error for a request that gets no thread."""
     return errors.NotRun(
-        "this router has no thread left for the request",
+        "no thread is available on this router for the request",
         code=code,
         status=503 if code == "router-full" else 429,
         retry_after=exchange.RETRY_SECONDS + RETRY_JITTER_SECONDS * jitter,
@@ -269,7 +269,7 @@
 
 
 def make_internal_error(error: Exception) -> errors.OutcomeUnknown:
-    """Return the answer for a fault of this program, which promises nothing."""
+    """Return the error for an unexpected exception; the outcome is unknown."""
     return errors.OutcomeUnknown(
         f"internal error: {type(error).__name__}",
         code="internal",
