--- a/celeryspan/services/paths.py
+++ b/celeryspan/services/paths.py
@@ -1,4 +1,4 @@
-"""The tree of paths at the caller address, as cherrypy walks it."""
+"""URL routing of the caller API as a cherrypy object tree."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Root:
-    """The tree of paths, as cherrypy walks it."""
+    """Root of the URL tree; cherrypy maps path segments to attributes."""
 
     def __init__(self, caller: caller_module.Caller) -> None:
         self._caller = caller
@@ -20,12 +20,12 @@
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def metrics(self, **_: Any) -> object:
-        """Answer the metrics of this router."""
+        """Return the metrics of this router."""
         return self._caller.serve(self._caller.show_metrics)
 
 
 class _Version:
-    """Everything below ``/v1``."""
+    """Handlers below ``/v1``."""
 
     def __init__(self, caller: caller_module.Caller) -> None:
         self._caller = caller
@@ -34,29 +34,29 @@
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def addresses(self, **_: Any) -> object:
-        """Answer which routers to use."""
+        """Return router addresses and tickets."""
         return self._caller.serve(self._caller.get_addresses)
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["GET"])
     def status(self, **_: Any) -> object:
-        """Answer what this router says of itself."""
+        """Return the status report of this router."""
         return self._caller.serve(self._caller.show_status)
 
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["POST"])
     def drain(self, **_: Any) -> object:
-        """Begin a graceful stop."""
+        """Start a graceful stop."""
         return self._caller.serve(self._caller.begin_drain)
 
     @cherrypy.expose
     def services(self, *_: Any, **__: Any) -> object:
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         return self._caller.serve(self._caller.call_service)
 
 
 class _Chat:
-    """Everything below ``/v1/chat``."""
+    """Handlers below ``/v1/chat``."""
 
     def __init__(self, caller: caller_module.Caller) -> None:
         self._caller = caller
@@ -64,5 +64,5 @@
     @cherrypy.expose
     @cherrypy.tools.allow(methods=["POST"])
     def completions(self, **_: Any) -> object:
-        """Pass a chat on to a model engine."""
+        """Forward a chat request to a model engine."""
         return self._caller.serve(self._caller.complete_chat)
