--- a/celeryspan/services/framing.py
+++ b/celeryspan/services/framing.py
@@ -1,9 +1,9 @@
-"""Requests on cheroot, strict about where each of them ends.
+"""Strict request framing on top of cheroot, against request smuggling.
 
-cheroot reads requests leniently. Where two readers of one byte stream can disagree
-about where a request ends, a caller can hide a second request inside the first and
-have its answer given to someone else. Such requests are answered 400 and their
-connection is closed, so that nothing after them is read.
+cheroot parses requests leniently. If two parsers of one byte stream disagree about the
+end of a request, a caller can hide a second request in the first one and have its
+answer delivered to another caller. Requests with ambiguous framing are answered with
+status 400 and their connection is closed, so that nothing after them is read.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 
 class _SingleHeaders(dict[bytes, bytes]):
-    """Refuses a second value for a header that is not a list."""
+    """Rejects duplicates of headers that do not hold a list."""
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
         if name in self and name not in cheroot_server.comma_separated_headers:
-            raise ValueError(f"Header {name.decode('latin-1')} stands twice.")
+            raise ValueError(f"Duplicate header {name.decode('latin-1')}.")
         super().__setitem__(name, value)
 
 
 class _StrictHeaderReader(cheroot_server.HeaderReader):
-    """Reads headers; raises ValueError for names and repeats that are ambiguous."""
+    """Reads headers; raises ValueError for malformed names and duplicates."""
 
     def __call__(
         self, rfile: Any, hdict: dict[bytes, bytes] | None = None
@@ -48,12 +48,12 @@
 
 
 class Request(cheroot_server.HTTPRequest):
-    """One request; refuses every shape whose end is in doubt."""
+    """One request; rejects ambiguous framing."""
 
     header_reader = _StrictHeaderReader()
 
     def read_request_headers(self) -> bool:
-        """Read the headers and check the framing."""
+        """Read the headers and validate the framing."""
         if not super().read_request_headers():
             return False
         problem = self._find_framing_error()
@@ -61,13 +61,13 @@
             self.simple_response("400 Bad Request", problem)
             return False
         if self.chunked_read:
-            # The chunk reader accepts sizes such as "-1"; closing afterwards keeps
-            # a remainder from being read as a request of its own.
+            # The chunk reader accepts sizes such as "-1". Closing the connection
+            # prevents the remainder from being parsed as another request.
             self.close_connection = True
         return True
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Answer a request that never reached the application, and close."""
+        """Answer a request that did not reach the application and close."""
         self.close_connection = True
         self.conn.has_unread_input = True
         self.sent_headers = True
@@ -87,10 +87,10 @@
         self.conn.wfile.write(("\r\n".join(lines) + "\r\n\r\n" + body).encode())
 
     def truncate_response(self) -> None:
-        """End the answer without its last chunk.
+        """Close the connection without sending the last chunk.
 
-        The caller's HTTP library then reports an incomplete body, where a proper end
-        would let half an answer pass for a whole one.
+        The caller's HTTP library then reports an incomplete body. With the last chunk
+        the truncated answer would look complete.
         """
         self.chunked_write = False
         self.close_connection = True
@@ -103,7 +103,7 @@
         if length is not None and not DIGITS.fullmatch(length):
             return "Malformed Content-Length."
         if coding is not None and coding.lower() != b"chunked":
-            return "Only one Transfer-Encoding, chunked, is understood."
+            return "The only supported Transfer-Encoding is chunked."
         if coding is not None and self.response_protocol != "HTTP/1.1":
-            return "Transfer-Encoding needs HTTP/1.1."
+            return "Transfer-Encoding requires HTTP/1.1."
         return ""
