--- a/celeryspan/services/buffers.py
+++ b/celeryspan/services/buffers.py
@@ -1,4 +1,4 @@
-"""A bounded buffer between the link of an engine and the connection of a caller."""
+"""A bounded buffer between an engine's stream and the caller's connection."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from celeryspan.adapters import backend
 
-# Text held for one caller, in bytes. A token is about five bytes, so nearly every
-# answer fits whole, and a caller that reads slowly does not keep the engine's slot
-# for longer than the engine writes. 256 streams hold at most 64 MiB.
+# Maximum text buffered for one caller. At about five bytes per token nearly every
+# answer fits, so a slow caller does not occupy the engine's slot after the engine has
+# finished. 256 streams buffer at most 64 MiB.
 BUFFER_BYTES = 262_144
 
 Piece = backend.Tokens | backend.Finished
 
 
 class StreamBuffer:
-    """Reads a stream on a thread of its own and hands it out as it is asked for.
+    """Reads a stream on a separate thread and buffers it for the caller.
 
-    Without it a caller with poor signal stops the reading of its stream; the engine's
-    slot stays taken while nothing is written, and others wait for it.
+    Without the buffer a caller with a slow connection blocks the reading of its stream,
+    and the engine's slot stays occupied while other requests wait for it.
 
     Parameters
     ----------
     pieces : iterator
-        The stream; whatever it raises is raised to the reader.
+        The stream; its exceptions are raised to the reader.
     limit : int
-        Bytes of text that are held before reading pauses.
+        Bytes of buffered text at which reading pauses.
     """
 
     def __init__(self, pieces: Iterator[Piece], limit: int = BUFFER_BYTES) -> None:
@@ -45,14 +45,15 @@
         self._thread.start()
 
     def read(self) -> Iterator[Piece]:
-        """Yield the stream; tokens that came meanwhile are handed out together."""
+        """Yield the stream; all buffered tokens are merged into one piece."""
         while (piece := self._next_piece()) is not None:
             yield piece
 
     def close(self) -> None:
-        """Give up what has not been read, and wait for the thread.
+        """Discard unread pieces and wait for the thread.
 
-        The link must have been ended before, so that the thread does not wait on it.
+        The engine's link must be closed or aborted first; otherwise the thread may
+        block on it.
         """
         with self._changed:
             self._closed = True
@@ -96,7 +97,7 @@
                 self._changed.notify_all()
 
     def _append(self, piece: Piece) -> bool:
-        """Hold a piece once there is room; returns False if nobody reads any more."""
+        """Wait for space and append a piece; returns False after ``close``."""
         with self._changed:
             self._changed.wait_for(lambda: self._bytes < self._limit or self._closed)
             if self._closed:
