--- a/celeryspan/services/connections.py
+++ b/celeryspan/services/connections.py
@@ -1,4 +1,4 @@
-"""One connection between two routers: framing, proof, heartbeat, batching."""
+"""A connection between two routers: framing, handshake, heartbeats and batching."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
 PROTOCOL_VERSION = 1
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""A peer in another region answers within 0.3 s; lost first packets are sent again
-after 1 s."""
+"""Connect timeout. A peer in another region answers within 0.3 s, and a lost SYN is
+retransmitted after 1 s."""
 
 HANDSHAKE_TIMEOUT_SECONDS = 2.0
-"""Greatest time for the proof, so that a stranger can't hold a thread for long."""
+"""Maximum duration of the handshake, so that an unauthenticated peer cannot occupy a
+thread for long."""
 
 HANDSHAKE_FRAME_BYTES_MAX = 1_024
-"""Greatest frame before the proof: hello and proof take under 200 bytes."""
+"""Maximum frame size during the handshake; hello and proof take under 200 bytes."""
 
 BATCH_DELAY_SECONDS = 0.003
-"""How long a first message waits for others: far below the 46 ms between tokens."""
+"""Time for which a message waits for others to share its frame; far below the 46 ms
+between tokens."""
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-"""A side that has sent nothing for this long sends a heartbeat."""
+"""A side that has sent nothing for this time sends a heartbeat."""
 
 SILENCE_TIMEOUT_SECONDS = 3.5
-"""A side that has heard nothing for this long, three heartbeats and their delay,
-holds the connection for lost."""
+"""A side that has received nothing for this time, three heartbeats and their delay,
+considers the connection lost."""
 
 IDLE_TIMEOUT_SECONDS = 30.0
-"""The opening side closes a connection over which no message went for this long, so
-that a router keeps links only to the peers that it works with."""
+"""The initiator closes a connection without messages for this time, so that a router
+keeps links only to peers that it exchanges messages with."""
 
 READ_BYTES = 65_536
 
@@ -46,12 +48,14 @@
 
 
 class Connection:
-    """A proven connection to one peer.
+    """A connection to one peer, authenticated by a handshake.
 
-    Parameters
+    Attributes
     ----------
+    peer : RouterId
+        The authenticated peer, empty before the handshake.
     is_initiator : bool
-        Whether this side opened it, and so closes it when idle.
+        Whether this side opened the connection and closes it when idle.
     """
 
     def __init__(
@@ -75,19 +79,23 @@
         channel.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def handshake_as_initiator(self, keys: Sequence[str], peer: ids.RouterId) -> None:
-        """Prove the fleet key as the opening side, and check the peer's proof.
+        """Prove the fleet key as the initiator and verify the peer's proof.
 
         Raises
         ------
         errors.LinkError
-            If the peer is another router than expected or proves no key.
+            If the peer is another router than expected or its proof is not valid.
         """
         self.is_initiator = True
         nonce = os.urandom(proofs.NONCE_BYTES)
         self._write_frame((messages.Hello(PROTOCOL_VERSION, nonce),))
         sender, hello, proof = self._read_hello()
         if sender != peer:
-            raise errors.LinkError(f"found router {sender}", step="prove", peer=peer)
+            raise errors.LinkError(
+                f"the peer identified itself as router {sender}",
+                step="prove",
+                peer=peer,
+            )
         nonces = (nonce, hello.nonce)
         proofs.check_proof(keys, proof.digest, "accept", sender, nonces)
         digest = proofs.prove(keys[0], "open", self._local[0], nonces)
@@ -95,7 +103,7 @@
         self.peer = peer
 
     def handshake_as_acceptor(self, keys: Sequence[str]) -> None:
-        """Prove the fleet key as the accepting side, and check the peer's proof."""
+        """Prove the fleet key as the acceptor and verify the peer's proof."""
         frame = self._read_frame()
         hello = _find(frame, messages.Hello)
         nonce = os.urandom(proofs.NONCE_BYTES)
@@ -108,11 +116,11 @@
         self.peer = frame.sender
 
     def wake(self) -> None:
-        """Make the task of this connection look at its outbox.
+        """Wake the connection's task so that it checks the outbox.
 
-        A sender may hold a connection whose task has just released it. Its file
-        descriptor may by then be another's, which would get a stray byte; the lock
-        and the flag keep the two apart.
+        The task may have just released the connection, and the system may have reused
+        the pipe's descriptor. The lock and the flag prevent a stray byte from being
+        written to it.
         """
         with self._wake_lock:
             if self._released:
@@ -120,15 +128,15 @@
             try:
                 os.write(self._wake_write, b"w")
             except BlockingIOError:
-                pass  # The pipe is full, so that the task wakes anyway.
+                pass  # The pipe is full, so the task wakes up in any case.
 
     def flush(
         self, pending: outbox.Outbox, lock: threading.Lock, counts: traffic.Traffic
     ) -> None:
-        """Send what waits from the calling thread; the task sends what is left.
+        """Send pending messages on the calling thread; the task sends the remainder.
 
-        To wake the task takes four system calls, a switch of threads and the time that
-        it lets messages gather, on each of the four messages of a request.
+        Waking the task takes four system calls, a thread switch and the batching delay
+        for each of the four messages of a request.
         """
         if not self._sending.acquire(blocking=False):
             self.wake()
@@ -138,14 +146,14 @@
                 self._fill(pending, lock, counts, False)
                 self._send_outbound()
         except OSError:
-            self._closing.set()  # The task finds out why, and opens another link.
+            self._closing.set()  # The task reports the error, and a new link is opened.
         finally:
             self._sending.release()
         if self._outbound or not self._is_running or self._closing.is_set():
             self.wake()
 
     def close(self) -> None:
-        """Make the task of this connection end."""
+        """Make the connection's task end."""
         self._closing.set()
         self.wake()
 
@@ -156,14 +164,14 @@
         receive: Receive,
         counts: traffic.Traffic,
     ) -> str:
-        """Send and receive until the connection ends; returns why it ended.
+        """Send and receive until the connection ends, and return the reason.
 
         Raises
         ------
         errors.LinkError
-            If the peer sends something malformed.
+            If the peer sends malformed data.
         OSError
-            If the connection breaks.
+            If the connection fails.
         """
         self._socket.setblocking(False)
         self._is_running = True
@@ -196,7 +204,7 @@
         return "stopped"
 
     def release(self) -> None:
-        """Close the socket and the pipe; the task calls this last."""
+        """Close the socket and the pipe; called last by the connection's task."""
         self._closing.set()
         with self._wake_lock:
             self._released = True
@@ -213,10 +221,10 @@
         counts: traffic.Traffic,
         heartbeat_due: bool,
     ) -> None:
-        """Make the next frame out of what waits, or of a heartbeat.
+        """Encode the next frame from the pending messages, or from a heartbeat if due.
 
-        Nothing is taken while the frame before is not sent off: what a slow peer has
-        not read stays in the outbox, where newer states replace older ones.
+        Must be called only when the previous frame has been sent completely. Messages
+        for a slow peer stay in the outbox, where newer states replace older ones.
         """
         with lock:
             batch = pending.take(time.monotonic())
@@ -231,15 +239,18 @@
             self._outbound = memoryview(data)
 
     def _send_outbound(self) -> None:
-        """Send as much as the peer takes; the caller holds the lock for sending."""
+        """Send without blocking; the calling code must hold ``_sending``."""
         try:
             while self._outbound:
                 self._outbound = self._outbound[self._socket.send(self._outbound) :]
         except BlockingIOError:
-            pass  # The rest leaves when the peer has read.
+            pass  # The remainder is sent once the socket is writable again.
 
     def _wait(self) -> bool:
-        """Wait for the peer, for a waking or for the next heartbeat."""
+        """Wait for socket events, a wake-up or half a heartbeat interval.
+
+        Returns whether the socket is readable, closed or failed.
+        """
         poll = select.poll()
         poll.register(self._wake_read, select.POLLIN)
         interest = select.POLLIN | (select.POLLOUT if self._outbound else 0)
@@ -252,17 +263,21 @@
         return bool(state & (select.POLLIN | select.POLLHUP | select.POLLERR))
 
     def _read_available(self) -> bool:
-        """Read what there is; False at the end of the stream."""
+        """Read available data; returns False at the end of the stream."""
         data = self._socket.recv(READ_BYTES)
         self._inbound += data
         return bool(data)
 
     def _decode_frames(self, counts: traffic.Traffic) -> Iterator[messages.Frame]:
-        """Take the whole frames out of what was read."""
+        """Yield the complete frames in the input buffer, without heartbeats."""
         while (body := self._extract_frame_body(codec.FRAME_BYTES_MAX)) is not None:
             frame = codec.decode(body)
             if frame.sender != self.peer:
-                raise errors.LinkError("changed its name", step="read", peer=self.peer)
+                raise errors.LinkError(
+                    f"frame from router {frame.sender} on this connection",
+                    step="read",
+                    peer=self.peer,
+                )
             counts.count("received", frame.messages, len(body))
             yield _drop_heartbeats(frame)
 
@@ -291,11 +306,13 @@
         while (body := self._extract_frame_body(HANDSHAKE_FRAME_BYTES_MAX)) is None:
             left = deadline - time.monotonic()
             if left <= 0:
-                raise errors.LinkError("took too long", step="prove")
+                raise errors.LinkError("the handshake timed out", step="prove")
             self._socket.settimeout(left)
             data = self._socket.recv(HANDSHAKE_FRAME_BYTES_MAX)
             if not data:
-                raise errors.LinkError("closed before its proof", step="prove")
+                raise errors.LinkError(
+                    "the peer closed the connection during the handshake", step="prove"
+                )
             self._inbound += data
         return codec.decode(body)
 
@@ -308,12 +325,12 @@
 def open_connection(
     address: ids.Address, local: tuple[ids.RouterId, ids.Incarnation]
 ) -> Connection:
-    """Connect to a peer; the proof is still to be made.
+    """Connect to a peer; the handshake is left to the calling code.
 
     Raises
     ------
     OSError
-        If nobody answers there.
+        If the connection cannot be established.
     """
     channel = socket.create_connection(address, timeout=CONNECT_TIMEOUT_SECONDS)
     channel.settimeout(HANDSHAKE_TIMEOUT_SECONDS)
@@ -324,7 +341,9 @@
     for message in frame.messages:
         if isinstance(message, kind):
             return message
-    raise errors.LinkError(f"expected {kind.__name__}", step="prove", peer=frame.sender)
+    raise errors.LinkError(
+        f"expected a {kind.__name__} message", step="prove", peer=frame.sender
+    )
 
 
 def _drop_heartbeats(frame: messages.Frame) -> messages.Frame:
