--- a/celeryspan/services/streams.py
+++ b/celeryspan/services/streams.py
@@ -1,8 +1,8 @@
-"""The two directions of a caller's connection, as cheroot wants them.
+"""Reader and writer of a caller's connection for cheroot.
 
-cheroot's own are written in Python on top of Python's model of buffered files. Reading
-the lines of a request's head through them took 0.4 ms of 2.9 ms that a router spent on
-a plain call; these let the C library's buffer read them.
+cheroot's own classes are based on the pure Python implementation of buffered I/O.
+Reading the header lines of a request with them took 0.4 of the 2.9 ms that a router
+spent on a plain call. The reader here uses the C implementation instead.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 class _RawSocket(socket.SocketIO):
-    """The reading end of a socket, which can be told to say that nothing is there."""
+    """A raw socket stream that can be made to report that no data is available."""
 
     returns_no_data = False
 
     def readinto(self, buffer: memoryview) -> int | None:
-        """Read what there is; None without waiting while it is quiet."""
+        """Read available data; returns None at once if ``returns_no_data`` is set."""
         return None if self.returns_no_data else super().readinto(buffer)
 
 
 class Reader(io.BufferedReader):
-    """Reads requests."""
+    """Buffered reader of requests."""
 
     def __init__(self, sock: socket.socket, bufsize: int) -> None:
         super().__init__(_RawSocket(sock, "r"), bufsize)
 
     def has_data(self) -> bool:
-        """Whether bytes were read from the socket that no request has taken yet."""
+        """Return whether the buffer holds data, without reading from the socket."""
         self.raw.returns_no_data = True
         try:
             return bool(self.peek(1))
@@ -37,11 +37,12 @@
 
 
 class Writer:
-    """Writes answers at once, without a buffer.
+    """Unbuffered writer of answers.
 
     Attributes
     ----------
     bytes_written : int
+        Number of bytes sent; read by cheroot.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -49,7 +50,7 @@
         self.bytes_written = 0
 
     def write(self, data: bytes) -> int:
-        """Send all bytes; the socket's time limit holds for each part that is taken."""
+        """Send all bytes; the socket's timeout applies to each ``send`` call."""
         view = memoryview(data)
         while view:
             sent = self._socket.send(view)
@@ -58,12 +59,12 @@
         return len(data)
 
     def flush(self) -> None:
-        """Nothing waits."""
+        """Do nothing: there is no buffer."""
 
     def close(self) -> None:
-        """Leave the socket to the connection."""
+        """Do nothing: the connection closes the socket."""
 
 
 def open_stream(sock: socket.socket, mode: str, bufsize: int) -> Reader | Writer:
-    """Return the reader or the writer of a socket; cheroot calls this."""
+    """Return a reader or writer for a socket; called by cheroot."""
     return Reader(sock, bufsize) if "r" in mode else Writer(sock)
