--- a/celeryspan/services/answers.py
+++ b/celeryspan/services/answers.py
@@ -1,4 +1,4 @@
-"""What callers are told: headers, error bodies and the format of streams."""
+"""Response format: headers, error bodies and server-sent events."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 REQUEST_HEADER = "Celeryspan-Request-Id"
 OUTCOME_HEADER = "Celeryspan-Outcome"
 
-# Tells a router's own error from one that a backend server answered.
+# Distinguishes a router's errors from those answered by a backend server.
 ERROR_HEADER = "Celeryspan-Error"
 
-# Headers that belong to one connection or are set by the HTTP server.
+# Headers that apply to a single connection or are set by the HTTP server.
 FRAMING_HEADERS = frozenset(
     {"connection", "content-length", "date", "keep-alive", "server"}
     | {"transfer-encoding"}
 )
 
-# Headers of a backend server's answer that the router sets itself.
+# Headers of a backend server's answer that the router replaces with its own.
 OVERRIDDEN_HEADERS = FRAMING_HEADERS | {
     REQUEST_HEADER.lower(),
     OUTCOME_HEADER.lower(),
@@ -37,12 +37,12 @@
 
 
 class Stream:
-    """A streamed body.
+    """A streamed response body.
 
     Attributes
     ----------
     is_complete : bool
-        Whether the last piece has been handed out, and with it the whole answer.
+        Whether the whole answer has been read from the backend server.
     """
 
     def __init__(
@@ -61,25 +61,25 @@
         return next(self._pieces)
 
     def close(self) -> None:
-        """Give up what has not been read; also if nothing has been."""
+        """Discard the unread part and release the source, even if nothing was read."""
         self._pieces.close()
         self._release()
 
 
 def find_request() -> framing.Request:
-    """Return the current request as the HTTP server knows it."""
+    """Return the HTTP server's object for the current request."""
     return cherrypy.request.wsgi_environ["celeryspan.request"]
 
 
 def set_outcome(request: ids.RequestId, outcome: states.Outcome) -> None:
-    """Put the two headers that every answer carries on the current answer."""
+    """Set the request id and outcome headers, which every answer carries."""
     headers = cherrypy.response.headers
     headers[REQUEST_HEADER] = request
     headers[OUTCOME_HEADER] = outcome.value
 
 
 def write_error(request: ids.RequestId, error: errors.RequestError) -> bytes:
-    """Make an error the current answer and return its body."""
+    """Set status and headers of the current answer for an error; return the body."""
     cherrypy.response.status = error.status
     set_outcome(request, error.outcome)
     cherrypy.response.headers[ERROR_HEADER] = error.code
@@ -89,7 +89,7 @@
 
 
 def describe_error(error: errors.RequestError) -> dict[str, str]:
-    """Return the error as callers see it."""
+    """Return the JSON fields of an error."""
     return {
         "code": error.code,
         "message": error.message,
@@ -100,29 +100,29 @@
 
 
 def write_json(value: object) -> bytes:
-    """Make a JSON value the body of the current answer."""
+    """Set the content type of the current answer to JSON and return the body."""
     cherrypy.response.headers["Content-Type"] = "application/json"
     return json.dumps(value).encode()
 
 
 def write_event(value: object) -> bytes:
-    """Return one server-sent event."""
+    """Encode a value as a server-sent event."""
     return b"data: " + json.dumps(value).encode() + b"\n\n"
 
 
 def render_error_page(status: str, message: str, **_: Any) -> str:
-    """Return the body for an error that cherrypy itself raises."""
-    made = ids.RequestId(uuid.uuid4().hex)
-    request = getattr(cherrypy.request, "celeryspan_id", made)
+    """Return the body for an error raised by cherrypy."""
+    generated = ids.RequestId(uuid.uuid4().hex)
+    request = getattr(cherrypy.request, "celeryspan_id", generated)
     set_outcome(request, states.Outcome.NOT_RUN)
     code = get_error_code(int(status.split()[0]))
     cherrypy.response.headers["Content-Type"] = "application/json"
     cherrypy.response.headers[ERROR_HEADER] = code
-    found = errors.NotRun(message, code=code, step="read request")
-    return json.dumps({"error": describe_error(found)})
+    error = errors.NotRun(message, code=code, step="read request")
+    return json.dumps({"error": describe_error(error)})
 
 
 def get_error_code(status: int) -> str:
-    """Return the error code for a status."""
-    names = {404: "not-found", 405: "method-not-allowed", 500: "internal"}
-    return names.get(status, "malformed")
+    """Return the error code for an HTTP status set by cherrypy."""
+    codes = {404: "not-found", 405: "method-not-allowed", 500: "internal"}
+    return codes.get(status, "malformed")
