--- a/celeryspan/services/plainanswers.py
+++ b/celeryspan/services/plainanswers.py
@@ -9,25 +9,27 @@
 from celeryspan.adapters import backend
 from celeryspan.services import backends, runs
 
-# A plain service that says nothing for so long is given up, in seconds. Stand
-# confirmations take well under a second; nobody waits for one half a minute.
+# Maximum time without data from a plain service. Stand confirmations take well under a
+# second, and no caller waits half a minute for one.
 PLAIN_ANSWER_TIMEOUT_SECONDS = 30.0
 
-# Part of a plain answer read before the caller is told that it ran. An answer that
-# is cut within it becomes one clear error instead of a broken body. Nearly all
-# confirmations are smaller; 256 callers at once hold 64 MiB.
+# Part of a plain answer that is buffered before the headers are sent. If the connection
+# fails within it, the caller gets an error instead of a truncated body. Nearly all
+# confirmations are smaller; 256 concurrent calls buffer at most 64 MiB.
 BUFFER_BYTES = 262_144
 
 
 class PlainAnswer:
-    """The answer of a plain service; its cost is the milliseconds that it took.
+    """The answer of a plain service; its cost is its duration in milliseconds.
 
     Attributes
     ----------
     head : Head
         Status and headers.
+    first_part : bytes
+        The buffered beginning of the body.
     is_complete : bool
-        Whether the first piece is the whole body.
+        Whether ``first_part`` is the whole body.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
             run.finish(run.milliseconds)
 
     def read(self) -> Iterator[bytes]:
-        """Yield the body; raises AnswerLost if it is cut."""
+        """Yield the body; raises AnswerLost if the connection fails."""
         yield self.first_part
         if self.is_complete:
             return
@@ -60,15 +62,15 @@
         self._run.finish(self._run.milliseconds)
 
     def close(self) -> None:
-        """Give up what has not been read."""
+        """Discard the unread part of the body and end the run."""
         self._run.abandon(dispatch.Ending.CANCELLED, self._run.milliseconds)
 
     def _set_limits(self, call: calls.Call) -> None:
-        """Wait for the service as long as it may take.
+        """Set the read timeout, and let calls that are not idempotent run to their end.
 
-        A call that may not be repeated is left to end even if its caller leaves: the
-        service can't be told to stop, it is busy with the call all the same, and a
-        repeat with the same ticket or key can be given the answer.
+        Such a call continues even if its caller disconnects: plain services cannot
+        cancel a call, so the service stays busy anyway, and the answer can be returned
+        to a repeat with the same ticket or key.
         """
         left = call.deadline - time.monotonic()
         backends.set_timeout(
