--- a/celeryspan/services/modelanswers.py
+++ b/celeryspan/services/modelanswers.py
@@ -1,4 +1,4 @@
-"""The stream of a model engine."""
+"""The token stream of a model engine, resumed after connection failures."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from celeryspan.adapters import backend, prefix
 from celeryspan.services import backends, buffers, runs
 
-# Connections tried in a row, without a token between them, before a stream is given
-# up. With PROGRESS_SECONDS each, an engine has 20 s to go on.
+# Maximum number of consecutive connections without a token before a stream is
+# abandoned. With PROGRESS_SECONDS each, an engine has 20 s to continue.
 RESUME_ATTEMPTS_MAX = 4
 RESUME_PAUSE_SECONDS = 0.2
 
-# Cost of a prompt token that the engine had to read, against one that it writes:
-# engines read prompts at least ten times as fast.
+# Cost of an uncached prompt token relative to a generated token: engines read prompts
+# at least ten times as fast as they generate.
 PROMPT_TOKEN_COST = 0.1
 
 
 class ModelAnswer:
-    """The stream of a model engine, followed over as many links as it takes."""
+    """The stream of a model engine, read over one or more connections."""
 
     def __init__(
         self, run: runs.Run, call: calls.ChatCall, adapter: backend.ModelAdapter
@@ -48,7 +48,7 @@
         self._buffer: buffers.StreamBuffer | None = None
 
     def read(self) -> Iterator[backend.Tokens | backend.Finished]:
-        """Yield the stream; raises AnswerLost if it can't be brought to its end."""
+        """Yield the stream; raises AnswerLost if it cannot be completed."""
         yield self._first
         if isinstance(self._first, backend.Finished):
             return
@@ -62,7 +62,7 @@
             ) from error
 
     def close(self) -> None:
-        """Stop the engine and give the slot back, unless the stream is whole."""
+        """Cancel the run and release its slot, unless the stream is complete."""
         self._closed = True
         if self._buffer is not None and not self._run.ended:
             self._run.wake()
@@ -86,7 +86,9 @@
                     yield piece
                     if isinstance(piece, backend.Finished):
                         return
-                raise backend.AnswerLost("ended early", step="read answer")
+                raise backend.AnswerLost(
+                    "the stream ended before its last line", step="read answer"
+                )
             except (backend.AnswerLost, *backends.LINK_ERRORS) as error:
                 failures += 1
                 self._resume(error, failures)
@@ -103,11 +105,11 @@
         self._run.finish(piece.tokens + PROMPT_TOKEN_COST * read)
 
     def _resume(self, error: Exception, failures: int) -> None:
-        """Open a new link and ask for the rest of the stream.
+        """Open a new connection and request the remainder of the stream.
 
-        A device between router and engine may forget a connection: it falls silent
-        for good while new ones work. The engine still runs the request, so that its
-        stream is asked for from the last offset on, and nothing runs twice.
+        A network device may drop the state of a connection, which then stays silent
+        while new connections work. The engine still runs the request, so its stream is
+        requested from the last offset and nothing runs twice.
         """
         server = self._run.slot.server
         while True:
@@ -144,7 +146,7 @@
         return self._closed or self._call.presence.gone
 
     def _cancel(self) -> None:
-        """Tell the engine to stop; if it can't be told, its own end frees the slot."""
+        """Cancel the run on the engine; if that fails, the slot is freed at its end."""
         try:
             link = self._run.pool.connect(self._run.slot.server, fresh=True)
         except errors.NotRun:
