--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -1,8 +1,9 @@
-"""The kernel service ``requests``: from an accepted call to its answer.
+"""The kernel service ``requests``: runs accepted calls on backend servers.
 
 Each call runs on the thread of its caller's connection: it waits for a slot, opens a
-link, sends, and reads the answer. What may be said or repeated is decided by
-:mod:`celeryspan.decisions.outcomes` and :mod:`celeryspan.decisions.retries`.
+link, sends the request and reads the answer. The reported outcome is decided by
+:mod:`celeryspan.decisions.outcomes`, and retries by
+:mod:`celeryspan.decisions.retries`.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 Answer = TypeVar("Answer")
 
-# Importing an adapter puts it into the registry.
+# Importing an adapter module registers the adapter.
 ADAPTERS = (engine, plain)
 
 
 @kernel.register("requests", needs=("backends", "dispatch", "metrics"))
 class Requests:
-    """Carries calls to backend servers."""
+    """Runs calls on backend servers."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._dispatch: dispatch.Dispatcher = box.find("dispatch")
@@ -38,30 +39,30 @@
         self._model = backend.REGISTRY[states.ServiceKind.MODEL]()
 
     def start(self) -> None:
-        """Do nothing: calls come on their callers' threads."""
+        """Do nothing: calls run on their callers' threads."""
 
     def stop(self) -> None:
-        """Do nothing: calls end with their callers' threads."""
+        """Do nothing: calls run on their callers' threads."""
 
     def call_plain(self, call: calls.Call) -> plainanswers.PlainAnswer:
-        """Carry a call to a plain service.
+        """Run a call on a plain service.
 
         Raises
         ------
         errors.RequestError
-            NotRun or OutcomeUnknown, as far as is known.
+            NotRun if the call certainly did not run, otherwise OutcomeUnknown.
         """
         return self._run_call(
             call, lambda run: plainanswers.PlainAnswer(run, call, self._plain)
         )
 
     def call_model(self, call: calls.ChatCall) -> modelanswers.ModelAnswer:
-        """Carry a call to a model engine; returns once its first tokens are here.
+        """Run a call on a model engine; returns once the first tokens have arrived.
 
         Raises
         ------
         errors.RequestError
-            NotRun or OutcomeUnknown, as far as is known.
+            NotRun if the call certainly did not run, otherwise OutcomeUnknown.
         """
         return self._run_call(
             call, lambda run: modelanswers.ModelAnswer(run, call, self._model)
@@ -140,8 +141,8 @@
             run.abandon(dispatch.Ending.CANCELLED)
             raise make_error(run.progress.settle(), error) from error
         except Exception as error:
-            # A fault of this program after the first byte must not turn into "not
-            # run", nor leave the slot taken: it is settled like a lost connection.
+            # An unexpected exception after the first byte must not be reported as "not
+            # run" or leave the slot occupied: it is settled like a lost connection.
             run.abandon(dispatch.Ending.FAILED)
             cause = errors.CeleryspanError(
                 f"internal error: {error!r}", step="send", peer=run.slot.server
@@ -155,7 +156,7 @@
         failure: runs.Failure,
         number: int,
     ) -> None:
-        """Wait before the next attempt, or raise if there is none."""
+        """Wait for the retry delay; raises RequestError if no retry is allowed."""
         if call.presence.gone:
             raise make_error(progress.settle(), failure, code="caller-left")
         attempt = retries.Attempt(
@@ -174,9 +175,9 @@
 
 
 def make_run_id(call: calls.Call, number: int) -> ids.RequestId:
-    """Return the id under which an attempt is known to the backend server.
+    """Return the id under which an attempt is sent to the backend server.
 
-    Each attempt has its own, so that the late answer of an earlier one is recognised.
+    Each attempt has its own id, so that late answers to earlier ones are recognised.
     """
     return call.request if number == 1 else ids.RequestId(f"{call.request}-{number}")
 
@@ -184,7 +185,7 @@
 def make_error(
     outcome: states.Outcome, cause: errors.CeleryspanError, *, code: str = ""
 ) -> errors.RequestError:
-    """Return the error that tells a caller what is known."""
+    """Return the error for the caller, with the given outcome and cause."""
     not_run = outcome is states.Outcome.NOT_RUN
     kind = errors.NotRun if not_run else errors.OutcomeUnknown
     status = getattr(cause, "status", 503 if not_run else 502)
