--- a/celeryspan/services/chat.py
+++ b/celeryspan/services/chat.py
@@ -1,4 +1,4 @@
-"""``POST /v1/chat/completions``: the usual chat format towards model engines."""
+"""``POST /v1/chat/completions``: the chat completions API for model engines."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 PATH = "/v1/chat/completions"
 
-# Tokens of an answer if the caller names no number; the usual servers' default.
+# Maximum number of generated tokens if the request sets none, as in common servers.
 MAX_TOKENS_DEFAULT = 1024
 MAX_TOKENS_LIMIT = 65_536
 
-# Time in which a request must be answered, in seconds: 65,536 tokens are not reached
-# within it, but nobody at a desk or in a barn waits longer.
+# Maximum time for a whole answer. An engine does not reach 65,536 tokens within it, but
+# no caller waits longer.
 CHAT_TIMEOUT_SECONDS = 300.0
 
 
 def read_call(http_exchange: exchange.Exchange) -> calls.ChatCall:
-    """Return the call that a request asks for; raises NotRun if it is malformed."""
+    """Parse a request into a call; raises NotRun if it is invalid."""
     account = http_exchange.find_account()
     body = http_exchange.read_body()
     payload = _parse(body)
@@ -49,7 +49,7 @@
 
 
 def write_answer(call: calls.ChatCall, answer: modelanswers.ModelAnswer) -> object:
-    """Make a stream of tokens the current answer, as one JSON value or as events."""
+    """Write a token stream as a JSON document or as server-sent events."""
     answers.set_outcome(call.request, states.Outcome.RAN)
     if not call.stream:
         return _write_completion(call, answer)
@@ -65,7 +65,7 @@
 def _write_events(
     call: calls.ChatCall, answer: modelanswers.ModelAnswer, stream: answers.Stream
 ) -> Iterator[bytes]:
-    """Yield the events; ``[DONE]`` comes only after the engine's own last line."""
+    """Yield the events; ``[DONE]`` is sent only after the engine's last line."""
     created = int(time.time())
     try:
         for piece in answer.read():
@@ -97,13 +97,13 @@
         raise make_answer_incomplete(error) from error
     finally:
         answer.close()
-    raise AssertionError("a stream ends with its last line or an error")
+    raise AssertionError("the stream ended without its last line or an error")
 
 
 def make_answer_incomplete(error: errors.CeleryspanError) -> errors.AnswerUnavailable:
-    """Return the error for an answer that was begun and can't be brought to its end."""
+    """Return the error for an answer that started but cannot be completed."""
     return errors.AnswerUnavailable(
-        f"the answer is not whole: {error.message}",
+        f"the answer is incomplete: {error.message}",
         code="answer-incomplete",
         status=502,
         step=error.step,
@@ -150,7 +150,7 @@
     try:
         payload = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _reject(f"the body is not JSON: {error}") from error
+        raise _reject(f"the body is not valid JSON: {error}") from error
     if not isinstance(payload, dict):
         raise _reject("the body is not a JSON object")
     return payload
@@ -161,11 +161,11 @@
 ) -> register.Service:
     name = payload.get("model")
     if not isinstance(name, str):
-        raise _reject("expected a text as model")
+        raise _reject("model must be a string")
     service = http_exchange.find_service(name)
     if service.kind is not states.ServiceKind.MODEL:
         raise exchange.make_refusal(
-            f"{name!r} is not a model", code="no-such-service", status=404
+            f"service {name!r} is not a model", code="no-such-service", status=404
         )
     return service
 
@@ -173,10 +173,10 @@
 def _read_messages(payload: dict[str, object]) -> tuple[dict[str, object], ...]:
     messages = payload.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _reject("expected a list of messages")
+        raise _reject("messages must be a non-empty list")
     for message in messages:
         if not isinstance(message, dict) or not isinstance(message.get("role"), str):
-            raise _reject("expected messages with a role and content")
+            raise _reject("each message must be an object with a string as role")
     return tuple(messages)
 
 
@@ -185,12 +185,12 @@
     if number is None:
         return MAX_TOKENS_DEFAULT
     if type(number) is not int or not 0 < number <= MAX_TOKENS_LIMIT:
-        raise _reject(f"expected max_tokens from 1 to {MAX_TOKENS_LIMIT}")
+        raise _reject(f"max_tokens must be an integer from 1 to {MAX_TOKENS_LIMIT}")
     return number
 
 
 def _estimate(payload: dict[str, object], service: register.Service) -> float:
-    """Return a rough cost: the service's typical one, or the caller's lower limit."""
+    """Estimate the cost as the service's hint, or the token limit if that is lower."""
     number = payload.get("max_completion_tokens", payload.get("max_tokens"))
     if type(number) is int and 0 < number < service.cost_hint:
         return float(number)
