--- a/celeryspan/services/plaincalls.py
+++ b/celeryspan/services/plaincalls.py
@@ -1,4 +1,4 @@
-"""``/v1/services/{service}/{path}``: any call to a plain service."""
+"""``/v1/services/{service}/{path}``: calls to plain services, with any method."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 PREFIX = "/v1/services/"
 
-# Time in which a call must be answered, in seconds. A stand confirmation that comes
-# later finds the bus crew gone.
+# Maximum time for an answer. A later stand confirmation is of no use, because the bus
+# crew has left.
 CALL_TIMEOUT_SECONDS = 60.0
 
-# Headers that are meant for the router itself.
+# Headers for the router itself, which are not forwarded.
 UNFORWARDED_HEADERS = frozenset(
     {"authorization", "content-length", "expect", "host"}
     | {"celeryspan-request-id", "celeryspan-ticket", "celeryspan-forwarded"}
@@ -32,13 +32,15 @@
 
 
 def read_call(http_exchange: exchange.Exchange) -> calls.Call:
-    """Return the call that a request asks for; raises NotRun if it is malformed."""
+    """Parse a request into a call; raises NotRun if it is invalid."""
     account = http_exchange.find_account()
     name, target = _split_target(http_exchange.target)
     service = http_exchange.find_service(name)
     if service.kind is not states.ServiceKind.PLAIN:
         raise exchange.make_refusal(
-            f"{name!r} is no plain service", code="no-such-service", status=404
+            f"service {name!r} is not a plain service",
+            code="no-such-service",
+            status=404,
         )
     path = target.partition("?")[0]
     return calls.Call(
@@ -59,7 +61,7 @@
 
 
 def write_answer(call: calls.Call, answer: plainanswers.PlainAnswer) -> object:
-    """Make the answer of a plain service the current answer."""
+    """Write the answer of a plain service as the current answer."""
     cherrypy.response.status = answer.head.status
     headers = cherrypy.response.headers
     headers.pop("Content-Type", None)
@@ -80,7 +82,7 @@
     stream: answers.Stream,
     request: framing.Request,
 ) -> Iterator[bytes]:
-    """Yield a large body; if it is cut, so is the caller's."""
+    """Yield a large body; if the backend's body is truncated, truncate the caller's."""
     try:
         yield from answer.read()
         stream.is_complete = True
@@ -92,7 +94,9 @@
     match = TARGET_PATTERN.fullmatch(target)
     if match is None:
         raise exchange.make_refusal(
-            f"expected {PREFIX}SERVICE/PATH", code="malformed", status=400
+            f"the path must have the form {PREFIX}SERVICE/PATH",
+            code="malformed",
+            status=400,
         )
     return match[1], match[2] or "/"
 
