--- a/celeryspan/services/addresses.py
+++ b/celeryspan/services/addresses.py
@@ -1,4 +1,4 @@
-"""``GET /v1/addresses``: which routers a caller should use."""
+"""``GET /v1/addresses``: selects the routers that a caller should use."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from celeryspan import ids, states
 from celeryspan.wire import messages
 
-# Addresses in one answer: enough to survive several lost routers at once, few enough
-# that the answer of a fleet of hundreds stays small.
+# Maximum number of addresses in one answer: enough to survive the loss of several
+# routers at once, and small even for a fleet of hundreds.
 ADDRESSES_MAX = 16
 
 
@@ -18,10 +18,10 @@
     local_data_centre: ids.DataCentreId,
     generator: random.Random,
 ) -> list[str]:
-    """Return addresses, those of one data centre first, each group in random order.
+    """Return addresses of live routers, those in the local data centre first.
 
-    The order is random so that callers, who try the first one first, spread evenly
-    over the routers.
+    Within each group the order is random, so that callers, which start with the first
+    address, spread evenly over the routers.
     """
     live = [item for item in members if item.state is states.MemberState.ALIVE]
     generator.shuffle(live)
