--- a/celeryspan/services/operators.py
+++ b/celeryspan/services/operators.py
@@ -1,4 +1,4 @@
-"""Who may see the status of a router and stop it."""
+"""Authentication of operators, who may read a router's status and drain it."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 def check_operator_key(
     http_exchange: exchange.Exchange, values: settings.Settings
 ) -> None:
-    """Check the operator's key; raises NotRun with status 401.
+    """Check the operator's key; raises NotRun with status 401 if it is not valid.
 
-    Every hash is compared, each in constant time.
+    All hashes are compared in constant time, so that timing reveals nothing about them.
     """
     digest = hashlib.sha256(http_exchange.read_key().encode()).hexdigest()
     valid = False
@@ -25,5 +25,5 @@
         valid |= hmac.compare_digest(key_hash, digest)
     if not valid:
         raise exchange.make_refusal(
-            "not an operator's key", code="unauthorized", status=401
+            "the bearer key is not an operator's key", code="unauthorized", status=401
         )
