--- a/celeryspan/services/repeats.py
+++ b/celeryspan/services/repeats.py
@@ -1,4 +1,4 @@
-"""Answers kept for repeats, and what repeats are told."""
+"""Answers to repeated requests with a ticket or key."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 REPEAT_HEADER = "Celeryspan-Repeat"
 
-# Told to a caller whose name can't be remembered because too many are, in seconds.
+# Retry-After for a request that cannot be recorded because the ledger is full.
 RECORDS_FULL_RETRY_SECONDS = 10.0
 
 DROPPED_HEADERS = answers.FRAMING_HEADERS | {
@@ -22,7 +22,7 @@
 
 
 def hash_call(call: calls.Call) -> str:
-    """Return the hash that tells one request from another under the same name."""
+    """Return the hash that distinguishes different requests with the same name."""
     digest = hashlib.sha256()
     for part in (call.service, call.method, call.target):
         digest.update(part.encode() + b"\0")
@@ -31,7 +31,7 @@
 
 
 def capture_answer(body: bytes) -> claims.Answer:
-    """Return the current answer, to be given again."""
+    """Return the current answer for storage, so that repeats can be given it."""
     headers = tuple(
         (name, str(value))
         for name, value in cherrypy.response.headers.items()
@@ -44,7 +44,7 @@
 def write_repeat(
     request: ids.RequestId, outcome: states.Outcome, answer: claims.Answer
 ) -> bytes:
-    """Make a kept answer the current one."""
+    """Write a kept answer as the current answer."""
     cherrypy.response.status = answer.status
     headers = cherrypy.response.headers
     headers.pop("Content-Type", None)
@@ -55,17 +55,17 @@
 
 
 def make_refusal(verdict: claims.Decision) -> errors.NotRun:
-    """Return the refusal of a name that can't be used."""
+    """Return the error for a ticket or key that cannot be accepted."""
     if verdict is claims.Decision.FULL:
         return errors.NotRun(
-            "this router can't remember more requests",
+            "this router cannot record more tickets and keys",
             code="records-full",
             status=503,
             retry_after=RECORDS_FULL_RETRY_SECONDS,
             step="claim",
         )
     return errors.NotRun(
-        "this ticket or key was used for a different request",
+        "this ticket or key has been used for a different request",
         code="name-reused",
         status=422,
         step="claim",
@@ -73,16 +73,16 @@
 
 
 def make_outcome_unknown(message: str) -> errors.OutcomeUnknown:
-    """Return the answer where an earlier request may or may not have run."""
+    """Return the error if it is unknown whether an earlier request ran."""
     return errors.OutcomeUnknown(
         message, code="outcome-unknown", status=409, step="claim"
     )
 
 
 def make_answer_not_kept() -> errors.AnswerUnavailable:
-    """Return the answer where an earlier request ran and its answer is gone."""
+    """Return the error if an earlier request ran but its answer is not kept."""
     return errors.AnswerUnavailable(
-        "the request ran; its answer was not whole or is no longer kept",
+        "the request ran, but its answer was incomplete or is no longer kept",
         code="answer-not-kept",
         status=409,
         step="claim",
