--- a/celeryspan/services/streams.py
+++ b/celeryspan/services/streams.py
@@ -42,7 +42,7 @@
     Attributes
     ----------
     bytes_written : int
-        Number of bytes sent; read by cheroot.
+        Number of bytes sent, as cheroot's own writer counts them.
     """
 
     def __init__(self, sock: socket.socket) -> None:
