--- a/tests/services/test_caller.py
+++ b/tests/services/test_caller.py
@@ -1,4 +1,4 @@
-"""The path of a request, from a caller's connection to its whole answer."""
+"""Requests from the caller's connection to the complete answer."""
 
 from __future__ import annotations
 
