--- a/tests/services/test_callerconnections.py
+++ b/tests/services/test_callerconnections.py
@@ -1,4 +1,4 @@
-"""Idle connections of callers at their bound, on real sockets."""
+"""Idle caller connections at the connection bound, on real sockets."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 BOUND = 32
 WAIT_SECONDS = 10.0
-CALM = ("127.0.0.2", 0)
-FLOOD = ("127.0.0.3", 0)
+LIGHT_CALLER = ("127.0.0.2", 0)
+HEAVY_CALLER = ("127.0.0.3", 0)
 
 
-class Stand:
-    """A server of a few connections, and its callers."""
+class ServerHarness:
+    """A server with a low connection bound, and connections of its callers."""
 
     def __init__(self) -> None:
-        self.hold = threading.Event()
-        self.hold.set()
+        self.may_answer = threading.Event()
+        self.may_answer.set()
         self.server = httpserver.Server(
             ids.Address("127.0.0.1", 0),
             self._serve,
@@ -38,12 +38,12 @@
         self._stack = contextlib.ExitStack()
 
     def _serve(self, _: object, start: object) -> list[bytes]:
-        assert self.hold.wait(WAIT_SECONDS)
+        assert self.may_answer.wait(WAIT_SECONDS)
         start("200 OK", [("Content-Length", "2")])
         return [b"ok"]
 
     def connect(self, source: tuple[str, int]) -> http.client.HTTPConnection:
-        """Return a connection of one caller that stays open."""
+        """Return a connection from a source address, closed in ``stop``."""
         address = self.server.address
         connection = http.client.HTTPConnection(
             address.host, address.port, timeout=WAIT_SECONDS, source_address=source
@@ -51,87 +51,95 @@
         return self._stack.enter_context(contextlib.closing(connection))
 
     def stop(self) -> None:
-        """End callers and server."""
+        """Close all connections and the server."""
         self._stack.close()
         self.server.shut_down()
 
 
 @pytest.fixture
-def stand() -> Iterator[Stand]:
-    found = Stand()
-    yield found
-    found.stop()
+def harness() -> Iterator[ServerHarness]:
+    created = ServerHarness()
+    yield created
+    created.stop()
 
 
 def ask(connection: http.client.HTTPConnection) -> http.client.HTTPResponse:
-    """Send one request and read its answer to the end."""
+    """Send one request and read the whole answer."""
     connection.request("GET", "/")
     answer = connection.getresponse()
     assert answer.read() == b"ok"
     return answer
 
 
-def test_answers_announce_the_end_before_the_bound_is_reached(stand: Stand) -> None:
-    connections = [stand.connect(FLOOD) for _ in range(2 * BOUND)]
+def test_answers_announce_close_before_the_bound_is_reached(
+    harness: ServerHarness,
+) -> None:
+    connections = [harness.connect(HEAVY_CALLER) for _ in range(2 * BOUND)]
     announced = [ask(each).getheader("Connection") == "close" for each in connections]
     assert not any(announced[: BOUND // 2])
     assert announced[-1]
 
 
-def test_calm_caller_keeps_its_connection_while_another_one_opens_many(
-    stand: Stand,
+def test_caller_keeps_its_connection_while_another_one_opens_many(
+    harness: ServerHarness,
 ) -> None:
-    """A caller holds one connection; another one opens four times what may be open.
+    """One caller has one connection; another one opens four times the bound.
 
-    The calm caller's next request is answered on the connection that it has.
+    Guards against closing the light caller's connection, on which its next request
+    must be answered.
     """
-    calm = stand.connect(CALM)
-    ask(calm)
-    calm.auto_open = 0  # A request on another connection would raise.
-    address = stand.server.address
+    light = harness.connect(LIGHT_CALLER)
+    ask(light)
+    light.auto_open = 0  # A request on another connection would raise.
+    address = harness.server.address
     with contextlib.ExitStack() as stack:
         for _ in range(4 * BOUND):
-            silent = socket.create_connection(tuple(address), WAIT_SECONDS, FLOOD)
-            stack.enter_context(silent)
-        assert ask(calm).status == 200
+            connection = socket.create_connection(
+                tuple(address), WAIT_SECONDS, HEAVY_CALLER
+            )
+            stack.enter_context(connection)
+        assert ask(light).status == 200
 
 
-def test_callers_that_send_nothing_hold_no_thread(stand: Stand) -> None:
-    address = stand.server.address
+def test_connections_without_a_request_occupy_no_thread(harness: ServerHarness) -> None:
+    address = harness.server.address
     with contextlib.ExitStack() as stack:
         for _ in range(BOUND // 2):
             stack.enter_context(socket.create_connection(tuple(address), WAIT_SECONDS))
-        assert ask(stand.connect(CALM)).status == 200
-        assert stand.server.count_connections()[1] <= 1
+        assert ask(harness.connect(LIGHT_CALLER)).status == 200
+        assert harness.server.count_connections()[1] <= 1
 
 
-def test_request_that_has_come_is_served_and_its_connection_not_given_up(
-    stand: Stand,
+def test_connection_with_an_unread_request_is_not_closed(
+    harness: ServerHarness,
 ) -> None:
-    """Requests come on connections that were idle while the bound is reached.
+    """Requests arrive on idle connections while the bound is reached.
 
-    To close one of these would lose a request that its caller has sent.
+    Guards against closing such a connection, which would lose a request that its caller
+    has sent.
     """
-    used = [stand.connect(FLOOD) for _ in range(BOUND // 2)]
+    used = [harness.connect(HEAVY_CALLER) for _ in range(BOUND // 2)]
     for each in used:
         ask(each)
-    stand.hold.clear()
+    harness.may_answer.clear()
     for each in used[:4]:
         each.request("GET", "/")
-    address = stand.server.address
+    address = harness.server.address
     with contextlib.ExitStack() as stack:
         for _ in range(2 * BOUND):
-            silent = socket.create_connection(tuple(address), WAIT_SECONDS, FLOOD)
-            stack.enter_context(silent)
-        stand.hold.set()
+            connection = socket.create_connection(
+                tuple(address), WAIT_SECONDS, HEAVY_CALLER
+            )
+            stack.enter_context(connection)
+        harness.may_answer.set()
         for each in used[:4]:
             assert each.getresponse().read() == b"ok"
 
 
-def test_less_of_settings_and_system_holds() -> None:
+def test_lower_of_configured_and_system_limit_applies() -> None:
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    least = callerconnections.compute_budget(64)
-    assert least.callers < callerconnections.compute_budget(allowed).callers
+    configured = callerconnections.compute_budget(64)
+    assert configured.callers < callerconnections.compute_budget(allowed).callers
     assert (
         callerconnections.compute_budget(2 * allowed)
         == callerconnections.compute_budget()
