--- a/tests/services/test_requests.py
+++ b/tests/services/test_requests.py
@@ -1,4 +1,4 @@
-"""Faults at every step of a request, held against what the servers did."""
+"""Faults at every step of a request, compared with what the servers did."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
         "run, cut before answer",
         "decline",
         "run, cut the body",
-        "program fault",
+        "internal error",
         "answer",
     ]
 )
 
 
 class Link:
-    """A link that knows whether it was kept or closed."""
+    """A link that records whether it was closed."""
 
     def __init__(self, server: ids.ServerId) -> None:
         self.server = server
@@ -47,15 +47,15 @@
         self.closed = True
 
 
-class World:
-    """Servers that follow a list of faults, one for each attempt."""
+class FaultyBackends:
+    """Backends and adapter with a list of faults, one for each attempt."""
 
     def __init__(self, faults: list[str]) -> None:
         self.faults = iter(faults)
         self.fault = "answer"
         self.links: list[Link] = []
         self.kept: list[Link] = []
-        self.exposures = 0
+        self.sends = 0
         self.runs = 0
 
     def start(self) -> None: ...
@@ -73,9 +73,9 @@
         self.kept.append(link)
 
     def send(self, link: Link, call: calls.Call, run: ids.RequestId) -> None:
-        self.exposures += 1
-        if self.fault == "program fault":
-            raise RuntimeError("a fault of this program")
+        self.sends += 1
+        if self.fault == "internal error":
+            raise RuntimeError("internal error")
         if self.fault in ("fail before first byte", "cut while sending"):
             raise ConnectionResetError
         self.runs += self.fault in (
@@ -86,7 +86,7 @@
 
     def receive(self, link: Link):
         if self.fault == "decline":
-            self.exposures -= 1
+            self.sends -= 1
             raise backend.Declined("leaving", step="send", peer=link.server)
         if self.fault in ("cut after sending", "run, cut before answer"):
             raise ConnectionResetError
@@ -100,11 +100,11 @@
 
 
 class Dispatch(fakes.Dispatch):
-    """Gives slots that expire when the world says so."""
+    """Grants slots that expire if the current fault is an expired grant."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, faulty: FaultyBackends) -> None:
         super().__init__(SERVERS)
-        self.world = world
+        self.faulty = faulty
 
     def acquire(self, work):
         slot = super().acquire(work)
@@ -112,17 +112,17 @@
         return slot
 
     def use(self) -> None:
-        if self.world.fault == "expire grant":
+        if self.faulty.fault == "expire grant":
             raise errors.NotRun("expired", code="grant-expired", step="send")
 
 
-def make_service(world: World, dispatch: Dispatch) -> requests.Requests:
+def make_service(faulty: FaultyBackends, dispatch: Dispatch) -> requests.Requests:
     box = kernel.Kernel(scripted.make_settings(), {})
-    services = {"dispatch": dispatch, "backends": world, "metrics": METERS}
+    services = {"dispatch": dispatch, "backends": faulty, "metrics": METERS}
     box._services = services
     service = requests.Requests(box)
     service.sleep = lambda seconds: None
-    service._plain = world
+    service._plain = faulty
     return service
 
 
@@ -138,43 +138,44 @@
 
 @hypothesis.settings(max_examples=300)
 @hypothesis.given(idempotent=strategies.booleans(), faults=strategies.lists(STEPS))
-def test_callers_are_told_the_truth_under_all_faults(idempotent, faults) -> None:
-    """A ground handler is told "not run", asks again, and two tugs come.
+def test_reported_outcome_is_correct_under_all_faults(idempotent, faults) -> None:
+    """A server reads the request, then the connection is cut.
 
-    A server reads the request, the connection is cut, and the router takes the cut
-    for a refusal, or tries a second server on its own.
+    Guards against a router that treats the cut as a refusal, or that tries another
+    server on its own. Either way the request can run twice: the caller is told "not
+    run" and repeats it, or the router does.
     """
-    world = World(faults)
-    dispatch = Dispatch(world)
-    service = make_service(world, dispatch)
+    faulty = FaultyBackends(faults)
+    dispatch = Dispatch(faulty)
+    service = make_service(faulty, dispatch)
     try:
         answer = service.call_plain(make_call(idempotent))
         assert answer.first_part == b"half and half"
-        told = states.Outcome.RAN
+        reported = states.Outcome.RAN
     except errors.RequestError as error:
-        told = error.outcome
-    if told is states.Outcome.NOT_RUN:
-        assert world.runs == world.exposures == 0
-    if told is states.Outcome.RAN:
-        assert world.runs >= 1
+        reported = error.outcome
+    if reported is states.Outcome.NOT_RUN:
+        assert faulty.runs == faulty.sends == 0
+    if reported is states.Outcome.RAN:
+        assert faulty.runs >= 1
     if not idempotent:
-        assert world.exposures <= 1
-        assert world.runs <= 1
+        assert faulty.sends <= 1
+        assert faulty.runs <= 1
     assert all(len(slot.endings) == 1 for slot in dispatch.slots)
-    assert all(link.closed or link in world.kept for link in world.links)
-    assert all(not link.closed for link in world.kept)
+    assert all(link.closed or link in faulty.kept for link in faulty.links)
+    assert all(not link.closed for link in faulty.kept)
 
 
 def test_a_router_that_was_paused_past_the_deadline_sends_nothing() -> None:
-    """A router is stopped with a slot in its hand, and goes on a minute later.
+    """A router is paused after it got a slot and resumes a minute later.
 
-    Its caller has been told "unknown" and has called the tower; a clearance that runs
-    now comes out of nowhere.
+    Guards against sending the request then: the caller has been told "unknown" and has
+    handled the matter otherwise, so that a late run has unexpected effects.
     """
-    world = World([])
-    dispatch = Dispatch(world)
+    faulty = FaultyBackends([])
+    dispatch = Dispatch(faulty)
     call = msgspec.structs.replace(make_call(False), deadline=time.monotonic() - 1)
     with pytest.raises(errors.NotRun, match="nobody waits"):
-        make_service(world, dispatch).call_plain(call)
-    assert world.exposures == 0
+        make_service(faulty, dispatch).call_plain(call)
+    assert faulty.sends == 0
     assert len(dispatch.slots[0].endings) == 1
