--- a/tests/services/test_sockets.py
+++ b/tests/services/test_sockets.py
@@ -1,4 +1,4 @@
-"""Callers' sockets that are watched for their closing."""
+"""Detection of closed caller connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SwappingPoll:
-    """Gives a descriptor to another connection between an event and its handling."""
+    """Reuses a descriptor for another connection between an event and its handling."""
 
     def __init__(self, real: select.epoll, swap) -> None:
         self._real = real
@@ -22,7 +22,7 @@
         return getattr(self._real, name)
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
-        """Return the first event once its descriptor belongs to another connection."""
+        """Poll; on the first event, call ``swap`` before returning it."""
         if self._swap is None:
             self.handled.set()
             return self._real.poll(timeout)
@@ -33,11 +33,11 @@
         return events
 
 
-def test_caller_on_a_reused_descriptor_is_not_taken_for_gone() -> None:
-    """A caller reads its answer and closes; the next one gets its descriptor.
+def test_close_event_is_not_applied_to_a_reused_descriptor() -> None:
+    """A caller reads its answer and closes; the next one gets the same descriptor.
 
-    The closing of the first was told to the second: its request was refused as
-    `caller-left`, or cut after it had been sent, while its caller waited.
+    Guards against applying the first caller's close event to the second one, whose
+    request was refused as `caller-left` or cut after sending while its caller waited.
     """
     first, first_caller = socket.socketpair()
     second, second_caller = socket.socketpair()
