--- a/tests/services/test_strangers.py
+++ b/tests/services/test_strangers.py
@@ -25,8 +25,8 @@
         yield found
 
 
-def talk(router, text: str | bytes, *, end: bool = True) -> bytes:
-    """Send bytes and return all that comes back until the router closes."""
+def send_raw(router, text: str | bytes, *, end: bool = True) -> bytes:
+    """Send bytes and return everything received until the router closes."""
     data = text.encode("latin-1") if isinstance(text, str) else text
     answer = b""
     with socket.create_connection(router.address, timeout=20) as connection:
@@ -61,14 +61,14 @@
         " folded: yes\r\n\r\n",
     ],
 )
-def test_shapes_whose_end_is_in_doubt_are_refused(router, framing):
-    """Two servers disagree about where a request ends.
+def test_ambiguous_framing_is_refused(router, framing):
+    """Two servers disagree about the end of a request.
 
-    What one takes for a body the other takes for the next request of another caller,
-    who then gets a stranger's answer.
+    Guards against request smuggling: one server parses as the body what the other
+    parses as the next request, and a caller gets the answer to someone else's request.
     """
     runs = len(router.gates[0].received)
-    answer = talk(router, POST + framing + SMUGGLED, end=False)
+    answer = send_raw(router, POST + framing + SMUGGLED, end=False)
     assert read_error(answer)[0] in (400, 501)
     assert answer.count(b"HTTP/1.1 ") == 1
     assert len(router.gates[0].received) == runs
@@ -77,19 +77,19 @@
 @pytest.mark.parametrize("chunks", ["zz\r\nhello\r\n", "5\r\nhello!!\r\n", "5\r\nhel"])
 def test_broken_chunks_run_nothing(router, chunks):
     runs = len(router.gates[0].received)
-    answer = talk(router, POST + "Transfer-Encoding: chunked\r\n\r\n" + chunks)
+    answer = send_raw(router, POST + "Transfer-Encoding: chunked\r\n\r\n" + chunks)
     assert read_error(answer) == (400, "malformed", "not-run")
     assert len(router.gates[0].received) == runs
 
 
 def test_a_request_after_a_chunked_body_is_not_read(router):
     body = "Transfer-Encoding: chunked\r\n\r\n-5\r\n" + SMUGGLED
-    assert talk(router, POST + body, end=False).count(b"HTTP/1.1 ") == 1
+    assert send_raw(router, POST + body, end=False).count(b"HTTP/1.1 ") == 1
 
 
 def test_a_body_that_ends_early_runs_nothing(router):
     runs = len(router.gates[0].received)
-    answer = talk(router, POST + "Content-Length: 50\r\n\r\nhalf")
+    answer = send_raw(router, POST + "Content-Length: 50\r\n\r\nhalf")
     assert read_error(answer) == (400, "malformed", "not-run")
     assert len(router.gates[0].received) == runs
 
@@ -103,8 +103,8 @@
         (POST + "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + "x" * 200_000, 413),
     ],
 )
-def test_what_is_too_large_is_refused(router, text, status):
-    assert read_error(talk(router, text, end=False))[0] == status
+def test_oversized_requests_are_refused(router, text, status):
+    assert read_error(send_raw(router, text, end=False))[0] == status
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,9 @@
         ("GET", "/v1/addresses?tickets=%ff", scripted.KEY, 404, "not-found"),
     ],
 )
-def test_wrong_requests_are_told_so(router, method, path, key, status, code):
+def test_invalid_requests_are_refused_as_not_run(
+    router, method, path, key, status, code
+):
     answer = test_caller.ask(
         router, method, path, headers={"Authorization": f"Bearer {key}"}
     )
@@ -131,14 +133,15 @@
 
 
 @pytest.mark.parametrize("text", ["POST /v1", POST + "Content-Length: 9\r\n\r\nha"])
-def test_a_slow_sender_is_given_up(router, monkeypatch, text):
-    """A caller sends a byte now and then, and holds a thread for as long as it likes.
+def test_a_slow_sender_is_disconnected(router, monkeypatch, text):
+    """A caller sends single bytes at long intervals and occupies a thread.
 
-    Each byte comes within the limit on silence; only a limit on the whole helps.
+    Each byte arrives within the timeout for progress, so only a limit on the time for
+    the whole request ends it.
     """
     monkeypatch.setattr(httpserver, "REQUEST_READ_SECONDS", 0.2)
     runs = len(router.gates[0].received)
-    assert read_error(talk(router, text, end=False))[0] == 400
+    assert read_error(send_raw(router, text, end=False))[0] == 400
     assert len(router.gates[0].received) == runs
 
 
@@ -165,9 +168,12 @@
 
 
 @hypothesis.given(pieces=strategies.lists(PIECES, max_size=12))
-def test_garbage_crashes_nothing_and_leaks_into_no_answer(router, pieces):
-    """Bytes that are no HTTP come to the caller port, now and then."""
-    talk(router, b"".join(pieces))
+def test_invalid_bytes_do_not_affect_later_answers(router, pieces):
+    """Bytes that are not valid HTTP arrive at the caller port.
+
+    Guards against a crash of the router and against mixing them into other answers.
+    """
+    send_raw(router, b"".join(pieces))
     answer = test_caller.ask(router, "POST", "/v1/services/gate-desk/x", body="mine")
     assert (answer.status, answer.data) == (200, b"mine")
 
