--- a/tests/services/test_streams.py
+++ b/tests/services/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams that are cut, silent, crossed, left or read slowly."""
+"""Streams that are cut, stalled, mixed up, abandoned or read slowly."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     return "".join(texts), lines[-1]
 
 
-def resume_or(first):
-    """Return an engine that begins each run by a script and resumes it properly."""
+def make_resumable_engine(first):
+    """Return an engine that handles POST with ``first`` and resumes streams."""
 
     def serve(connection, received):
         if received.line.startswith("POST"):
@@ -64,12 +64,12 @@
 
 
 def test_a_cut_stream_is_resumed_from_its_last_offset():
-    """A connection to the engine breaks in the middle of a draft.
+    """A connection to the engine fails in the middle of an answer.
 
-    Asked again from the start, the engine would write another draft, and the planner
-    would read half of each.
+    Guards against restarting the request: the engine would generate another answer, and
+    the caller would get half of each.
     """
-    engine = resume_or(cut)
+    engine = make_resumable_engine(cut)
     with scripted.run_router(engines=[engine]) as router:
         assert read_text(ask(router)) == ("one two rest", "[DONE]")
         assert engine.offset == 2
@@ -78,9 +78,9 @@
 
 @pytest.mark.parametrize("begins", [True, False])
 def test_a_silent_connection_is_replaced(monkeypatch, begins):
-    """A firewall forgets a connection; nothing comes on it any more, no end either.
+    """A firewall drops the state of a connection, which delivers neither data nor FIN.
 
-    Without a limit on silence the planner waits for good.
+    Without a read timeout the caller waits indefinitely.
     """
     monkeypatch.setattr(backends, "PROGRESS_SECONDS", 0.2)
 
@@ -89,15 +89,18 @@
             begin(connection, received)
         return True
 
-    engine = resume_or(fall_silent)
+    engine = make_resumable_engine(fall_silent)
     with scripted.run_router(engines=[engine]) as router:
         text, last = read_text(ask(router))
         assert (text, last) == ("one two rest" if begins else "rest", "[DONE]")
         assert count_posts(router) == 1
 
 
-def test_lines_of_another_run_are_dropped_and_repeats_cut():
-    """A confused device sends a line of another caller, and a line twice."""
+def test_lines_of_other_runs_and_repeated_tokens_are_dropped():
+    """The stream contains a line of another caller's run and a repeated token.
+
+    Guards against passing either of them on to the caller.
+    """
 
     def cross(connection, received):
         begin(connection, received)
@@ -110,8 +113,11 @@
         assert read_text(ask(router)) == ("one two three", "[DONE]")
 
 
-def test_a_caller_is_told_that_its_stream_is_not_whole():
-    """The engine dies for good: the caller must not take half a draft for a whole."""
+def test_a_caller_is_told_that_its_stream_is_incomplete():
+    """The engine fails and the stream cannot be resumed.
+
+    Guards against a truncated answer that looks complete to the caller.
+    """
 
     def die(connection, received):
         return received.line.startswith("POST") and cut(connection, received)
@@ -128,7 +134,7 @@
         assert router.dispatch.slots[0].endings[0][0] is dispatch.Ending.FAILED
 
 
-def test_an_incomplete_answer_in_one_value_is_an_error():
+def test_an_incomplete_answer_without_streaming_is_an_error():
     def forget(connection, received):
         if received.line.startswith("POST"):
             return cut(connection, received)
@@ -150,9 +156,9 @@
     ],
 )
 def test_a_request_that_an_engine_declines_goes_to_another(status, reason, ending):
-    """An engine leaves, or loads another model, while a draft is on its way to it.
+    """An engine that is leaving or loads another model declines a request.
 
-    It says that it did not run the request, so that another engine may.
+    The engine has not run the request, so it may be sent to another one.
     """
 
     def decline(connection, received):
@@ -194,8 +200,11 @@
 
 
 def test_a_caller_that_leaves_frees_its_slot_and_stops_the_engine():
-    """A gang leader drives into a valley; the engine writes on for nobody."""
-    engine = resume_or(lambda *args: begin(*args) is None)
+    """A caller loses its connection in the middle of a stream.
+
+    Guards against an engine that keeps generating an answer that nobody reads.
+    """
+    engine = make_resumable_engine(lambda *args: begin(*args) is None)
     with scripted.run_router(engines=[engine]) as router:
         connection = open_stream(router)
         read_until(connection, b"two")
@@ -208,7 +217,7 @@
             pass
 
 
-def test_a_caller_that_leaves_is_taken_out_of_its_queue():
+def test_a_caller_that_leaves_is_removed_from_its_queue():
     with scripted.run_router(engines=[begin]) as router:
         router.dispatch.full = True
         connection = open_stream(router)
@@ -220,7 +229,10 @@
 
 
 def test_a_slow_reader_does_not_hold_the_slot():
-    """A phone in a barn reads a token a second; others wait for the same engine."""
+    """A caller with a slow connection reads about a token a second.
+
+    Guards against its slot staying occupied while other requests wait for the engine.
+    """
 
     def write_much(connection, received):
         scripted.write_head(connection)
