--- a/celeryspan/services/buffers.py
+++ b/celeryspan/services/buffers.py
@@ -1,4 +1,4 @@
-"""A bounded buffer between the link of an engine and the connection of a caller."""
+"""A bounded buffer between an engine's stream and the caller's connection."""
 
 from __future__ import annotations
 
@@ -8,83 +8,86 @@
 
 from celeryspan.adapters import backend
 
-# Text held for one caller, in bytes. A token is about five bytes, so nearly every
-# answer fits whole, and a caller that reads slowly does not keep the engine's slot
-# for longer than the engine writes. 256 streams hold at most 64 MiB.
+# Maximum text buffered for one caller. At about five bytes per token nearly every
+# answer fits, so a slow caller does not occupy the engine's slot after the engine has
+# finished. 256 streams buffer at most 64 MiB.
 BUFFER_BYTES = 262_144
 
 Piece = backend.Tokens | backend.Finished
 
 
 class StreamBuffer:
-    """Reads a stream on a thread of its own and hands it out as it is asked for.
+    """Reads a stream on a separate thread and buffers it for the caller.
 
-    Without it a caller with poor signal stops the reading of its stream; the engine's
-    slot stays taken while nothing is written, and others wait for it.
+    Without the buffer a caller with a slow connection blocks the reading of its stream,
+    and the engine's slot stays occupied while other requests wait for it.
 
     Parameters
     ----------
     pieces : iterator
-        The stream; whatever it raises is raised to the reader.
+        The stream; its exceptions are raised to the reader.
     limit : int
-        Bytes of text that are held before reading pauses.
+        Bytes of buffered text at which reading pauses.
     """
 
     def __init__(self, pieces: Iterator[Piece], limit: int = BUFFER_BYTES) -> None:
         self._pieces = pieces
         self._limit = limit
         self._changed = threading.Condition()
-        self._held: collections.deque[Piece] = collections.deque()
+        self._pending: collections.deque[Piece] = collections.deque()
         self._bytes = 0
         self._ended = False
         self._closed = False
         self._error: Exception | None = None
-        self._thread = threading.Thread(target=self._fill, name="stream", daemon=True)
+        self._thread = threading.Thread(
+            target=self._read_stream, name="stream", daemon=True
+        )
         self._thread.start()
 
     def read(self) -> Iterator[Piece]:
-        """Yield the stream; tokens that came meanwhile are handed out together."""
-        while (piece := self._take()) is not None:
+        """Yield the stream; all buffered tokens are merged into one piece."""
+        while (piece := self._next_piece()) is not None:
             yield piece
 
     def close(self) -> None:
-        """Give up what has not been read, and wait for the thread.
+        """Discard unread pieces and wait for the thread.
 
-        The link must have been ended before, so that the thread does not wait on it.
+        The engine's link must be closed or aborted first; otherwise the thread may
+        block on it.
         """
         with self._changed:
             self._closed = True
             self._changed.notify_all()
         self._thread.join()
 
-    def _take(self) -> Piece | None:
+    def _next_piece(self) -> Piece | None:
         with self._changed:
-            self._changed.wait_for(lambda: self._held or self._ended)
-            if not self._held:
+            self._changed.wait_for(lambda: self._pending or self._ended)
+            if not self._pending:
                 if self._error is not None:
                     raise self._error
                 return None
-            pieces = list(self._held)
+            pieces = list(self._pending)
             if isinstance(pieces[0], backend.Finished):
-                self._held.clear()
+                self._pending.clear()
                 return pieces[0]
-            return self._merge(pieces)
+            return self._merge_tokens(pieces)
 
-    def _merge(self, pieces: list[Piece]) -> backend.Tokens:
+    def _merge_tokens(self, pieces: list[Piece]) -> backend.Tokens:
         texts: list[str] = []
         for piece in pieces:
             if isinstance(piece, backend.Finished):
                 break
             texts.extend(piece.texts)
-            self._held.popleft()
+            self._pending.popleft()
         self._bytes = 0
         self._changed.notify_all()
         return backend.Tokens(pieces[0].offset, tuple(texts))
 
-    def _fill(self) -> None:
+    def _read_stream(self) -> None:
         try:
             for piece in self._pieces:
-                if not self._put(piece):
+                if not self._append(piece):
                     return
         except Exception as error:
             self._error = error
@@ -93,13 +96,13 @@
                 self._ended = True
                 self._changed.notify_all()
 
-    def _put(self, piece: Piece) -> bool:
-        """Hold a piece once there is room; returns False if nobody reads any more."""
+    def _append(self, piece: Piece) -> bool:
+        """Wait for space and append a piece; returns False after ``close``."""
         with self._changed:
             self._changed.wait_for(lambda: self._bytes < self._limit or self._closed)
             if self._closed:
                 return False
-            self._held.append(piece)
+            self._pending.append(piece)
             if isinstance(piece, backend.Tokens):
                 self._bytes += sum(len(text.encode()) for text in piece.texts)
             self._changed.notify_all()
--- a/celeryspan/services/callerconnections.py
+++ b/celeryspan/services/callerconnections.py
@@ -1,9 +1,9 @@
-"""The idle connections of callers, within what the process may have open.
+"""Bounds the number of caller connections and closes idle ones near the bound.
 
-Failure answered: a listener that has no descriptor for a new connection. cheroot's own
-manager passes the error on and begins anew at once: the listener then fails more than
-100,000 times a second, and never comes to closing what has been idle for too long, so
-that the process does not recover when its callers have left.
+When the process runs out of file descriptors, cheroot's own connection manager reports
+the failed accept and retries at once. The listener then fails more than 100,000 times a
+second and never gets to close expired idle connections, so that the process does not
+recover even after its callers have left.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 if TYPE_CHECKING:
     from celeryspan.services import httpserver
 
-EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-"""What accepting fails with when the process or the system has no room."""
+EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+"""Errors of ``accept`` when the process or the system is out of resources."""
 
-PAUSE_SECONDS = 0.01
-"""How long a listener rests that can neither accept nor give anything up: a request in
-progress ends meanwhile, and a core is not spent on failing."""
+ACCEPT_PAUSE_SECONDS = 0.01
+"""Pause of a listener that can neither accept a connection nor close one, so that it
+does not occupy a core until a request in progress ends."""
 
 
-def divide(configured: int = 0) -> descriptors.Budget:
-    """Return how many connections of each use this process may have.
+def compute_budget(configured: int = 0) -> descriptors.Budget:
+    """Return the maximum number of connections for each use in this process.
 
     Parameters
     ----------
     configured : int
-        How many descriptors the settings allow; 0 if they say nothing. The system's
-        limit holds in any case.
+        Maximum number of descriptors from the settings, 0 if not set. The system's
+        limit applies in any case.
     """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if configured:
@@ -46,46 +46,46 @@
 
 
 class CallerConnections(cheroot_connections.ConnectionManager):
-    """Keeps idle connections, and gives some up before there are too many.
+    """Manages idle connections and closes some of them when the bound is reached.
 
     Parameters
     ----------
     bound : int
-        Greatest number of connections, idle or in use.
+        Maximum number of connections, idle or in use.
     """
 
     def __init__(self, server: httpserver.Server, bound: int) -> None:
         super().__init__(server)
         self._bound = bound
-        self.given_up = 0
+        self.closed_idle_count = 0
 
     def accept(self) -> httpserver.Connection | None:
-        """Take in one connection; None if there is none, or no room for it."""
+        """Accept one connection; None if none is pending or the bound is reached."""
         if self._num_connections + self.server.requests.busy >= self._bound:
-            if not self._give_up():
-                time.sleep(PAUSE_SECONDS)
+            if not self._close_idle():
+                time.sleep(ACCEPT_PAUSE_SECONDS)
                 return None
         try:
             return super()._from_server_socket(self.server.socket)
         except OSError as error:
-            if error.errno not in EXHAUSTED:
+            if error.errno not in EXHAUSTION_ERRNOS:
                 raise
-            self.server.error_log("no room for a connection")
-        if not self._give_up():
-            time.sleep(PAUSE_SECONDS)
+            self.server.error_log("out of resources for a new connection")
+        if not self._close_idle():
+            time.sleep(ACCEPT_PAUSE_SECONDS)
         return None
 
     def _from_server_socket(self, _: socket.socket) -> None:
-        """Take in all connections that wait, as cheroot asks for one of them."""
-        self.server.accept_waiting()
+        """Accept all pending connections when cheroot asks for one."""
+        self.server.accept_pending()
 
-    def _give_up(self) -> int:
-        """Close some connections that wait for nothing; returns how many.
+    def _close_idle(self) -> int:
+        """Close some idle connections and return their number.
 
-        One on which bytes have come is not closed: its request would be lost.
+        Connections with unread data stay open, because their requests would be lost.
         """
         if not self.server.is_accepting_thread():
-            return 0  # Only the task that selects may take connections out.
+            return 0  # Only the accepting thread may modify the selector.
         idle = [
             (descriptor, connection)
             for descriptor, connection in self._selector.connections
@@ -97,23 +97,23 @@
             idle[place]
             for place in descriptors.select_connections_to_close(holders, count)
         ]
-        quiet = _find_quiet([descriptor for descriptor, _ in chosen])
+        without_data = _find_without_data([descriptor for descriptor, _ in chosen])
         for descriptor, connection in chosen:
-            if descriptor in quiet:
+            if descriptor in without_data:
                 self._selector.unregister(descriptor)
                 connection.close()
-        self.given_up += len(quiet)
-        return len(quiet)
+        self.closed_idle_count += len(without_data)
+        return len(without_data)
 
 
 def has_data(sock: socket.socket) -> bool:
-    """Whether a connection can be read from without waiting."""
-    return not _find_quiet([sock.fileno()])
+    """Return whether a read from a socket would not block."""
+    return not _find_without_data([sock.fileno()])
 
 
-def _find_quiet(found: list[int]) -> set[int]:
-    """Return the descriptors on which nothing has come, not even an end."""
+def _find_without_data(candidates: list[int]) -> set[int]:
+    """Return the descriptors with neither unread data nor an end of stream."""
     poll = select.poll()
-    for descriptor in found:
+    for descriptor in candidates:
         poll.register(descriptor, select.POLLIN)
-    return set(found) - {descriptor for descriptor, _ in poll.poll(0)}
+    return set(candidates) - {descriptor for descriptor, _ in poll.poll(0)}
--- a/celeryspan/services/modelanswers.py
+++ b/celeryspan/services/modelanswers.py
@@ -1,4 +1,4 @@
-"""The stream of a model engine."""
+"""The token stream of a model engine, resumed after connection failures."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from celeryspan.adapters import backend, prefix
 from celeryspan.services import backends, buffers, runs
 
-# Connections tried in a row, without a token between them, before a stream is given
-# up. With PROGRESS_SECONDS each, an engine has 20 s to go on.
-RESUMES_MAX = 4
+# Maximum number of consecutive connections without a token before a stream is
+# abandoned. With PROGRESS_SECONDS each, an engine has 20 s to continue.
+RESUME_ATTEMPTS_MAX = 4
 RESUME_PAUSE_SECONDS = 0.2
 
-# Cost of a prompt token that the engine had to read, against one that it writes:
-# engines read prompts at least ten times as fast.
+# Cost of an uncached prompt token relative to a generated token: engines read prompts
+# at least ten times as fast as they generate.
 PROMPT_TOKEN_COST = 0.1
 
 
 class ModelAnswer:
-    """The stream of a model engine, followed over as many links as it takes."""
+    """The stream of a model engine, read over one or more connections."""
 
     def __init__(
         self, run: runs.Run, call: calls.ChatCall, adapter: backend.ModelAdapter
@@ -30,8 +30,8 @@
         self._adapter = adapter
         self._offset = 0
         self._closed = False
-        self._lost = False
-        self._pieces = self._follow()
+        self._failed = False
+        self._pieces = self._receive()
         try:
             adapter.send(run.link, call, run.name)
             first = next(self._pieces)
@@ -48,7 +48,7 @@
         self._buffer: buffers.StreamBuffer | None = None
 
     def read(self) -> Iterator[backend.Tokens | backend.Finished]:
-        """Yield the stream; raises AnswerLost if it can't be brought to its end."""
+        """Yield the stream; raises AnswerLost if it cannot be completed."""
         yield self._first
         if isinstance(self._first, backend.Finished):
             return
@@ -56,23 +56,25 @@
         try:
             yield from self._buffer.read()
         except (backend.AnswerLost, backend.StreamRefused) as error:
-            self._lost = not self._call.presence.left
+            self._failed = not self._call.presence.left
             raise backend.AnswerLost(
                 error.message, step=error.step, peer=error.peer
             ) from error
 
     def close(self) -> None:
-        """Stop the engine and give the slot back, unless the stream is whole."""
+        """Cancel the run and release its slot, unless the stream is complete."""
         self._closed = True
         if self._buffer is not None and not self._run.ended:
             self._run.wake()
             self._buffer.close()
         if not self._run.ended:
-            ending = dispatch.Ending.FAILED if self._lost else dispatch.Ending.CANCELLED
+            ending = (
+                dispatch.Ending.FAILED if self._failed else dispatch.Ending.CANCELLED
+            )
             self._run.abandon(ending, float(self._offset))
             self._cancel()
 
-    def _follow(self) -> Iterator[backend.Tokens | backend.Finished]:
+    def _receive(self) -> Iterator[backend.Tokens | backend.Finished]:
         failures = 0
         while True:
             try:
@@ -80,16 +82,18 @@
                     self._run.link, self._run.name, self._offset
                 ):
                     failures = 0
-                    self._count(piece)
+                    self._record(piece)
                     yield piece
                     if isinstance(piece, backend.Finished):
                         return
-                raise backend.AnswerLost("ended early", step="read answer")
+                raise backend.AnswerLost(
+                    "the stream ended before its last line", step="read answer"
+                )
             except (backend.AnswerLost, *backends.LINK_ERRORS) as error:
                 failures += 1
                 self._resume(error, failures)
 
-    def _count(self, piece: backend.Tokens | backend.Finished) -> None:
+    def _record(self, piece: backend.Tokens | backend.Finished) -> None:
         if isinstance(piece, backend.Tokens):
             self._offset += len(piece.texts)
             self._run.slot.progress(len(piece.texts))
@@ -101,16 +105,16 @@
         self._run.finish(piece.tokens + PROMPT_TOKEN_COST * read)
 
     def _resume(self, error: Exception, failures: int) -> None:
-        """Open a new link and ask for the rest of the stream.
+        """Open a new connection and request the remainder of the stream.
 
-        A device between router and engine may forget a connection: it falls silent
-        for good while new ones work. The engine still runs the request, so that its
-        stream is asked for from the last offset on, and nothing runs twice.
+        A network device may drop the state of a connection, which then stays silent
+        while new connections work. The engine still runs the request, so its stream is
+        requested from the last offset and nothing runs twice.
         """
         server = self._run.slot.server
         while True:
             self._run.link.close()
-            if self._is_unwanted() or failures >= RESUMES_MAX:
+            if self._is_cancelled() or failures >= RESUME_ATTEMPTS_MAX:
                 raise backend.AnswerLost(
                     f"stream lost: {error!r}", step="read answer", peer=server
                 ) from error
@@ -118,7 +122,7 @@
                 time.sleep(RESUME_PAUSE_SECONDS)
             try:
                 self._run.link = self._run.pool.connect(server, fresh=True)
-                if self._is_unwanted():
+                if self._is_cancelled():
                     continue
                 self._adapter.resume(self._run.link, self._run.name, self._offset)
             except (errors.NotRun, *backends.LINK_ERRORS) as again:
@@ -138,11 +142,11 @@
             progress.answer()
             progress.confirm()
 
-    def _is_unwanted(self) -> bool:
+    def _is_cancelled(self) -> bool:
         return self._closed or self._call.presence.gone
 
     def _cancel(self) -> None:
-        """Tell the engine to stop; if it can't be told, its own end frees the slot."""
+        """Cancel the run on the engine; if that fails, the slot is freed at its end."""
         try:
             link = self._run.pool.connect(self._run.slot.server, fresh=True)
         except errors.NotRun:
