--- a/celeryspan/services/plaincalls.py
+++ b/celeryspan/services/plaincalls.py
@@ -104,7 +104,9 @@
 def _select_headers(http_exchange: exchange.Exchange) -> Iterator[tuple[str, str]]:
     listed = http_exchange.headers.get("Connection", "").lower().split(",")
     dropped = (
-        plain.HOP_BY_HOP_HEADERS | UNFORWARDED_HEADERS | {name.strip() for name in listed}
+        plain.HOP_BY_HOP_HEADERS
+        | UNFORWARDED_HEADERS
+        | {name.strip() for name in listed}
     )
     for name, value in http_exchange.headers.items():
         if name.lower() not in dropped:
