--- a/celeryspan/adapters/store.py
+++ b/celeryspan/adapters/store.py
@@ -12,7 +12,7 @@
 VALUE_BYTES_MAX = 1_048_576
 """Limit of the object API for a value (docs/protocols.md)."""
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """The API responds in milliseconds; a connection that takes longer is an outage."""
 
 READ_TIMEOUT_SECONDS = 3.0
@@ -147,7 +147,7 @@
         wait: float = 0.0,
     ) -> urllib3.BaseHTTPResponse:
         timeout = urllib3.Timeout(
-            connect=CONNECT_SECONDS, read=wait + self._read_timeout
+            connect=CONNECT_TIMEOUT_SECONDS, read=wait + self._read_timeout
         )
         try:
             response = self._pool.request(
--- a/celeryspan/platform/objects.py
+++ b/celeryspan/platform/objects.py
@@ -63,18 +63,18 @@
         is_stale : bool
             Accept a result that may be seconds old, at a tenth of the cost.
         """
-        found: list[storedobjects.StoredObject] = []
+        objects: list[storedobjects.StoredObject] = []
         query: dict[str, object] = {"is_stale": 1} if is_stale else {}
         while True:
             page = self._call("GET", kind, "", query=query)
-            read = [
+            parsed = [
                 self._parse_or_log(kind, entry) for entry in _get_list(page, "entries")
             ]
-            readable = [each for each in read if each is not None]
-            found += readable
+            readable = [each for each in parsed if each is not None]
+            objects += readable
             if not page.get("has_more"):
                 return storedobjects.Listing(
-                    tuple(found), self._read_revision(page, kind)
+                    tuple(objects), self._read_revision(page, kind)
                 )
             if not readable:
                 # The next page is requested by the name of the last object of this one.
@@ -85,7 +85,7 @@
                 )
             query = {**query, "after": readable[-1].name}
 
-    def watch(self, kind: str, at: int, seconds: float) -> storedobjects.Changes:
+    def watch(self, kind: str, revision: int, seconds: float) -> storedobjects.Changes:
         """Wait for changes after a revision; empty if none arrive in time.
 
         Raises
@@ -93,15 +93,15 @@
         errors.HistoryGone
             If the store no longer has the changes; list the objects again.
         """
-        query = {"watch": at, "wait_ms": int(seconds * 1000)}
-        found = self._call("GET", kind, "", query=query, wait=seconds)
+        query = {"watch": revision, "wait_ms": int(seconds * 1000)}
+        response = self._call("GET", kind, "", query=query, wait=seconds)
         changes = [
             self._parse_change_or_log(kind, event)
-            for event in _get_list(found, "events")
+            for event in _get_list(response, "events")
         ]
         return storedobjects.Changes(
             tuple(change for change in changes if change is not None),
-            self._read_revision(found, kind),
+            self._read_revision(response, kind),
         )
 
     def get(self, kind: str, name: str) -> storedobjects.StoredObject:
@@ -125,8 +125,8 @@
     ) -> storedobjects.StoredObject:
         """Replace the status at a known revision; raises errors.Conflict."""
         body = {"metadata": {"name": name, "revision": revision}, "status": status}
-        found = self._call("PUT", kind, f"{name}/status", body=body)
-        return self._parse_one(found, f"PUT {kind}")
+        response = self._call("PUT", kind, f"{name}/status", body=body)
+        return self._parse_one(response, f"PUT {kind}")
 
     def delete(self, kind: str, name: str, revision: int) -> None:
         """Delete an object at a known revision; raises errors.Conflict."""
@@ -183,35 +183,35 @@
     def _parse(self, data: bytes, step: str) -> dict:
         """Parse a body; invalid UTF-8 affects only the value that contains it."""
         try:
-            found = json.loads(data.decode(errors="replace")) if data else {}
+            fields = json.loads(data.decode(errors="replace")) if data else {}
         except (ValueError, RecursionError) as error:
             raise self._malformed(repr(error), step) from error
-        if not isinstance(found, dict):
+        if not isinstance(fields, dict):
             raise self._malformed("expected a JSON object", step)
-        return found
+        return fields
 
     def _malformed(self, reason: str, step: str) -> errors.StoreUnavailable:
         return errors.StoreUnavailable(
             f"malformed response: {reason}", step=step, peer=self.address
         )
 
-    def _read_revision(self, found: Mapping, kind: str) -> int:
-        at = found.get("at")
-        if type(at) is not int:
-            raise self._malformed(f"expected a revision, found {at!r:.40}", kind)
-        return at
+    def _read_revision(self, response: Mapping, kind: str) -> int:
+        revision = response.get("at")
+        if type(revision) is not int:
+            raise self._malformed(f"expected a revision, found {revision!r:.40}", kind)
+        return revision
 
-    def _parse_one(self, found: object, step: str) -> storedobjects.StoredObject:
+    def _parse_one(self, fields: object, step: str) -> storedobjects.StoredObject:
         try:
-            return _parse_object(found)
+            return _parse_object(fields)
         except MALFORMED_ERRORS as error:
             raise self._malformed(repr(error), step) from error
 
     def _parse_or_log(
-        self, kind: str, found: object
+        self, kind: str, fields: object
     ) -> storedobjects.StoredObject | None:
         try:
-            return _parse_object(found)
+            return _parse_object(fields)
         except MALFORMED_ERRORS as error:
             events.log(
                 events.Event.STORE_OBJECT_IGNORED,
@@ -226,27 +226,27 @@
     ) -> storedobjects.Change | None:
         if not isinstance(event, Mapping):
             event = {}
-        found = self._parse_or_log(kind, event.get("object"))
-        if found is None:
+        changed = self._parse_or_log(kind, event.get("object"))
+        if changed is None:
             return None
-        return storedobjects.Change(found, event.get("deleted") is True)
+        return storedobjects.Change(changed, event.get("deleted") is True)
 
 
-def _get_list(found: Mapping, key: str) -> list:
-    listed = found.get(key)
+def _get_list(response: Mapping, key: str) -> list:
+    listed = response.get(key)
     return listed if isinstance(listed, list) else []
 
 
-def _parse_object(found: object) -> storedobjects.StoredObject:
+def _parse_object(fields: object) -> storedobjects.StoredObject:
     """Return one object; raises one of MALFORMED_ERRORS."""
-    meta = found["metadata"]
+    meta = fields["metadata"]
     if not isinstance(meta["name"], str) or type(meta["revision"]) is not int:
         raise TypeError("expected a name and a revision")
     meta["name"].encode()  # Raises ValueError for unpaired surrogates.
     return storedobjects.StoredObject(
         name=meta["name"],
         revision=meta["revision"],
-        spec=found.get("spec"),
-        status=found.get("status"),
+        spec=fields.get("spec"),
+        status=fields.get("status"),
         is_terminating=bool(meta.get("is_deleting")),
     )
