--- a/celeryspan/wire/proofs.py
+++ b/celeryspan/wire/proofs.py
@@ -53,7 +53,7 @@
         if hmac.compare_digest(compute_proof(key, role, sender, nonces), digest):
             return
     raise errors.LinkError(
-        "the peer's proof matches no fleet key", step="prove", peer=sender
+        "the peer does not prove a fleet key", step="prove", peer=sender
     )
 
 
@@ -74,7 +74,7 @@
     for key in keys:
         if hmac.compare_digest(_tag(key, data), tag):
             return data
-    raise errors.LinkError("the datagram's tag matches no fleet key", step="unseal")
+    raise errors.LinkError("the datagram has no valid tag", step="unseal")
 
 
 def _tag(key: str, data: bytes) -> bytes:
