--- a/celeryspan/adapters/orders.py
+++ b/celeryspan/adapters/orders.py
@@ -79,11 +79,7 @@
             order["role"] = wanted.role
         response = self._call("POST", address, "/orders", json.dumps(order).encode())
         if response.status == 409:
-            raise FenceRefused(
-                f"fencing number {fence} is out of date",
-                step="order",
-                peer=str(address),
-            )
+            raise FenceRefused("fence", step="order", peer=str(address))
         if response.status != 202:
             raise errors.CeleryspanError(
                 f"expected status 202, found {response.status}",
