--- a/celeryspan/adapters/routers.py
+++ b/celeryspan/adapters/routers.py
@@ -166,10 +166,10 @@
         headers = {"Authorization": f"Bearer {self._key}"} if self._key else {}
         step = f"{method} {path}"
         try:
-            response = self._pool.request(
+            http_response = self._pool.request(
                 method, f"http://{address}{path}", headers=headers
             )
-            fields = json.loads(response.data) if response.data else {}
+            fields = json.loads(http_response.data) if http_response.data else {}
         except urllib3.exceptions.HTTPError as error:
             raise errors.CeleryspanError(
                 f"expected a response within {TIMEOUT_SECONDS:.0f} s, found: {error}; "
@@ -183,11 +183,11 @@
                 step=step,
                 peer=address,
             ) from error
-        if response.status >= 300:
+        if http_response.status >= 300:
             found = fields.get("error", {}) if isinstance(fields, dict) else {}
             message = found.get("message", "") if isinstance(found, dict) else found
             raise errors.CeleryspanError(
-                f"expected success, found {response.status}: {message}",
+                f"expected success, found {http_response.status}: {message}",
                 step=step,
                 peer=address,
             )
--- a/celeryspan/adapters/store.py
+++ b/celeryspan/adapters/store.py
@@ -163,16 +163,16 @@
         return response
 
     def _raise_for_status(
-        self, response: urllib3.BaseHTTPResponse, path: str, step: str
+        self, http_response: urllib3.BaseHTTPResponse, path: str, step: str
     ) -> None:
-        if response.status < 300 or response.status == 304:
+        if http_response.status < 300 or http_response.status == 304:
             return
-        message = f"{path} answered {response.status}"
-        if response.status == 404:
+        message = f"{path} answered {http_response.status}"
+        if http_response.status == 404:
             raise errors.NotFound(message, step=step, peer=self.address)
-        if response.status == 412:
+        if http_response.status == 412:
             raise errors.Conflict(message, step=step, peer=self.address)
-        if response.status >= 500:
+        if http_response.status >= 500:
             raise self._unavailable(step, message)
         raise errors.StoreError(message, step=step, peer=self.address)
 
