--- a/celeryspan/gateway/acceptance.py
+++ b/celeryspan/gateway/acceptance.py
@@ -62,11 +62,11 @@
         body=body,
         received_at=received_at,
         deadline=received_at + seconds,
-        presence=calls.Presence(lambda: has_left(request)),
+        presence=calls.Presence(lambda: has_disconnected(request)),
     )
 
 
-def has_left(request: cheroot_server.HTTPRequest) -> bool:
+def has_disconnected(request: cheroot_server.HTTPRequest) -> bool:
     """Whether the caller of a request has closed its connection by now."""
     descriptor = request.conn.socket.fileno()
     return descriptor < 0 or sockets.is_closed(descriptor)
--- a/celeryspan/gateway/attempts.py
+++ b/celeryspan/gateway/attempts.py
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from celeryspan.gateway import budgets
 
-SECOND_TRY_SECONDS = 0.05
+RETRY_SECONDS_MIN = 0.05
 """With less time left a repeat can't be answered."""
 
-SILENCE_OBJECTIVES = 3.0
+SILENCE_TIMEOUT_OBJECTIVES = 3.0
 """A repeatable plain request that is not answered within this many of its objectives is
 sent to another server: its own has stopped, or lost the answer."""
 
-REJECTED_RETRY_SECONDS = 0.2
+REJECTED_RETRY_AFTER_SECONDS = 0.2
 """When to come back after a server was full: its queue drains within this time."""
 
 
@@ -32,7 +32,7 @@
     """Decides on repeats, and takes them from the budget."""
 
     def __init__(self, box: kernel.Kernel) -> None:
-        self._budgets: budgets.Budgets = box.find("budgets")
+        self._budgets: budgets.RetryBudgets = box.find("budgets")
 
     def start(self) -> None:
         """Nothing to begin."""
@@ -40,29 +40,29 @@
     def stop(self) -> None:
         """Nothing to end."""
 
-    def follow_rejection(
+    def handle_rejection(
         self,
         order: orders.Order,
         progress: requestprogress.Progress,
         declined: backend.Declined,
     ) -> None:
         """Let a request that was not run be sent again, or refuse it."""
-        if self.may_repeat(order, progress):
+        if self.reserve_retry(order, progress):
             return
-        if progress.failure is not None or progress.is_answering:
-            raise endings.make_lost(progress, declined.message)
+        if progress.server_failure is not None or progress.is_answering:
+            raise endings.make_answer_lost(progress, declined.message)
         if progress.may_have_run:
-            raise endings.make_unknown(order, progress, declined.message)
+            raise endings.make_outcome_unknown(order, progress, declined.message)
         raise errors.NotRun(
             f"rejected: {declined.message}",
             code="server-full",
             status=503,
-            retry_after=REJECTED_RETRY_SECONDS,
+            retry_after=REJECTED_RETRY_AFTER_SECONDS,
             step=declined.step,
             peer=declined.peer,
         )
 
-    def follow_loss(
+    def handle_lost_answer(
         self,
         order: orders.Order,
         progress: requestprogress.Progress,
@@ -72,17 +72,17 @@
         progress.may_have_run = True
         if order.presence.gone:
             raise ConnectionAbortedError("the caller has left")
-        can_repeat = order.route.is_repeatable and self.may_repeat(order, progress)
-        if can_repeat:
+        can_retry = order.route.is_repeatable and self.reserve_retry(order, progress)
+        if can_retry:
             event = events.Event.STREAM_RESUMED
             if progress.is_answering:
                 events.log(event, request=order.request, above=progress.last_event)
             return
         if progress.is_answering:
-            raise endings.make_lost(progress, lost.message)
-        raise endings.make_unknown(order, progress, lost.message)
+            raise endings.make_answer_lost(progress, lost.message)
+        raise endings.make_outcome_unknown(order, progress, lost.message)
 
-    def may_switch(
+    def may_abandon_silent_server(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> bool:
         """Whether a silent server may be left for another one."""
@@ -91,11 +91,11 @@
             and progress.sends + 1 < order.route.attempts_max
         )
 
-    def find_silence(self, order: orders.Order) -> float:
+    def compute_silence_timeout(self, order: orders.Order) -> float:
         """Return after how many seconds a server counts as silent."""
-        return SILENCE_OBJECTIVES * order.route.target_latency
+        return SILENCE_TIMEOUT_OBJECTIVES * order.route.target_latency
 
-    def may_repeat(
+    def reserve_retry(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> bool:
         """Whether one more server may get the request; takes it from the budget."""
@@ -105,6 +105,6 @@
             return False
         if progress.sends >= order.route.attempts_max:
             return False
-        if order.left() < SECOND_TRY_SECONDS or order.presence.gone:
+        if order.remaining_seconds() < RETRY_SECONDS_MIN or order.presence.gone:
             return False
-        return self._budgets.take(order.service)
+        return self._budgets.try_take(order.service)
--- a/celeryspan/gateway/budgets.py
+++ b/celeryspan/gateway/budgets.py
@@ -14,11 +14,11 @@
 
 
 @kernel.register("budgets", needs=("poolmap",))
-class Budgets:
+class RetryBudgets:
     """Counts requests and repeats of each service."""
 
     def __init__(self, box: kernel.Kernel) -> None:
-        self._map: poolmap.PoolMap = box.find("poolmap")
+        self._pool_map: poolmap.PoolMap = box.find("poolmap")
         self._settings = box.settings
         self._budgets: dict[ids.ServiceId, retrybudget.RetryBudget] = {}
         self._lock = threading.Lock()
@@ -29,18 +29,18 @@
     def stop(self) -> None:
         """Nothing to end."""
 
-    def note_request(self, service: ids.ServiceId) -> None:
+    def record_request(self, service: ids.ServiceId) -> None:
         """Count a request of a caller."""
         with self._lock:
-            self._find(service).record_request(time.monotonic())
+            self._get_budget(service).record_request(time.monotonic())
 
-    def take(self, service: ids.ServiceId) -> bool:
+    def try_take(self, service: ids.ServiceId) -> bool:
         """Take one repeat from the budget, if one is left."""
         with self._lock:
-            routers = self._map.count_routers()
-            return self._find(service).try_take(time.monotonic(), routers)
+            routers = self._pool_map.count_routers()
+            return self._get_budget(service).try_take(time.monotonic(), routers)
 
-    def _find(self, service: ids.ServiceId) -> retrybudget.RetryBudget:
+    def _get_budget(self, service: ids.ServiceId) -> retrybudget.RetryBudget:
         if service not in self._budgets:
             self._budgets[service] = retrybudget.RetryBudget(
                 self._settings.retry_ratio,
--- a/celeryspan/gateway/callersinks.py
+++ b/celeryspan/gateway/callersinks.py
@@ -8,9 +8,11 @@
 class CallerSink:
     """Writes one answer to a caller's connection."""
 
-    def __init__(self, request: cheroot_server.HTTPRequest, *, closes: bool) -> None:
+    def __init__(
+        self, request: cheroot_server.HTTPRequest, *, close_after: bool
+    ) -> None:
         self._request = request
-        self._closes = closes
+        self._close_after = close_after
         self._is_chunked = False
         self.is_begun = False
         self.is_ended = False
@@ -20,13 +22,13 @@
     ) -> None:
         """Begin the answer."""
         request = self._request
-        found = {name.lower() for name, _ in headers}
+        names = {name.lower() for name, _ in headers}
         lines = [f"HTTP/1.1 {status} {reason}"]
         lines += [f"{name}: {value}" for name, value in headers]
-        if "content-length" not in found:
+        if "content-length" not in names:
             self._is_chunked = True
             lines.append("Transfer-Encoding: chunked")
-        if self._closes:
+        if self._close_after:
             request.close_connection = True
         if request.close_connection:
             lines.append("Connection: close")
@@ -47,7 +49,7 @@
             self._send(b"0\r\n\r\n")
         self.is_ended = True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection without the end of the answer."""
         self._request.close_connection = True
 
--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -37,7 +37,7 @@
         serverlists,
     )
 
-CONNECTS_MAX = 4
+CONNECT_FAILURES_MAX = 4
 """Servers that one request tries to connect to."""
 
 
@@ -66,22 +66,22 @@
         self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
         self._places: places.Places = box.find("places")
         self._quarantine: quarantines.QuarantineService = box.find("quarantine")
-        self._budgets: budgets.Budgets = box.find("budgets")
+        self._budgets: budgets.RetryBudgets = box.find("budgets")
         self._migrations: migrations.Migrations = box.find("migrations")
         self._attempts: attempts.Attempts = box.find("attempts")
         self._sender: sender.Sender = box.find("sender")
         self._servers: serverlists.ServersService = box.find("servers")
-        self._meters: metrics.Metrics = box.find("metrics")
+        self._metrics: metrics.Metrics = box.find("metrics")
         self._data_centre = ids.DataCentreId(box.settings.data_centre)
 
     def start(self) -> None:
         """Begin to drop connections to servers that have left."""
-        self._servers.subscribe(self._channels.drop)
+        self._servers.subscribe(self._channels.set_servers)
 
     def stop(self) -> None:
         """Do nothing: orders end with their callers' threads."""
 
-    def carry(self, order: orders.Order, sink: orders.Sink) -> None:
+    def forward(self, order: orders.Order, sink: orders.Sink) -> None:
         """Carry an order and write its answer.
 
         Raises
@@ -93,40 +93,42 @@
         OSError
             If the caller is gone.
         """
-        self._budgets.note_request(order.service)
+        self._budgets.record_request(order.service)
         progress = requestprogress.Progress()
         refuse = functools.partial(self._places.refuse, order.request)
         self._quarantine.watch(order, progress, refuse)
         try:
-            self._carry(order, progress, sink)
+            self._forward(order, progress, sink)
         finally:
             self._quarantine.unwatch(order)
 
-    def _carry(
+    def _forward(
         self, order: orders.Order, progress: requestprogress.Progress, sink: orders.Sink
     ) -> None:
         while True:
-            place = self._find_place(order, progress)
+            place = self._acquire_place(order, progress)
             if place is None:
-                return self._give_failure(order, progress, sink)
-            if self._try_once(order, place, progress, sink):
-                endings.settle(self._meters, order, progress, place.server)
+                return self._write_server_failure(order, progress, sink)
+            if self._attempt(order, place, progress, sink):
+                endings.record_answered(self._metrics, order, progress, place.server)
                 return None
 
-    def _find_place(
+    def _acquire_place(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> places.Place | None:
         """Return a place, or None if a server's own failure is the best answer."""
         order.presence.watch(lambda: self._places.cancel(order.request))
         try:
             self._quarantine.check(order, progress)
-            return self._places.acquire(order.service, self._make_ask(order, progress))
+            return self._places.acquire(
+                order.service, self._build_slot_request(order, progress)
+            )
         except errors.NotRun as refusal:
-            if progress.failure is not None:
+            if progress.server_failure is not None:
                 return None
             raise endings.make_refusal(order, progress, refusal) from refusal
 
-    def _make_ask(
+    def _build_slot_request(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> messages.SlotRequest:
         route, incoming = order.route, order.incoming
@@ -147,10 +149,10 @@
             gap_max=route.gap_max,
             stride=engine.stride if engine else 1,
             excluded=progress.excluded,
-            isolation=self._find_isolation(order, progress),
+            isolation=self._get_isolation_fingerprint(order, progress),
         )
 
-    def _find_isolation(
+    def _get_isolation_fingerprint(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> int:
         """Return the fingerprint of a request that must run apart, or 0."""
@@ -159,7 +161,7 @@
             return progress.fingerprint.whole
         return 0
 
-    def _try_once(
+    def _attempt(
         self,
         order: orders.Order,
         place: places.Place,
@@ -167,25 +169,27 @@
         sink: orders.Sink,
     ) -> bool:
         """Send an order to one server; returns whether it has been answered."""
-        channel = self._connect(order, place, progress)
+        channel = self._open_channel(order, place, progress)
         if channel is None:
             return False
-        self._check_wanted(order, place, progress, channel)
+        self._check_before_send(order, place, progress, channel)
         ending = states.RunEnding.FAILED
-        order.presence.watch(channel.make_abort())
+        order.presence.watch(channel.make_abort_callback())
         until = order.deadline
-        if self._attempts.may_switch(order, progress):
-            until = min(until, time.monotonic() + self._attempts.find_silence(order))
+        if self._attempts.may_abandon_silent_server(order, progress):
+            until = min(
+                until, time.monotonic() + self._attempts.compute_silence_timeout(order)
+            )
         try:
             reply = self._sender.send(
                 order, place.server, progress, channel, until, source=place.source
             )
-            ending = self._pass_on(order, place, progress, reply, sink)
+            ending = self._relay_reply(order, place, progress, reply, sink)
             self._quarantine.note_answered(order, progress)
         except backend.Declined as declined:
             gone = states.RunEnding.GONE
             ending = gone if declined.leaving else states.RunEnding.REJECTED
-            self._attempts.follow_rejection(order, progress, declined)
+            self._attempts.handle_rejection(order, progress, declined)
         except backend.AnswerLost as lost:
             ending = states.RunEnding.CANCELLED
             if not order.presence.gone:
@@ -194,23 +198,23 @@
                     self._quarantine.note_answered(order, progress)
                     return True
                 ending = states.RunEnding.FAILED
-                self._note_loss(order, channel, progress, lost)
-            self._attempts.follow_loss(order, progress, lost)
+                self._report_lost_answer(order, channel, progress, lost)
+            self._attempts.handle_lost_answer(order, progress, lost)
         except OSError:
             ending = states.RunEnding.CANCELLED
             raise
         finally:
-            self._migrations.drop(place)
-            pause = progress.gap if progress.sends == 1 else 0.0
+            self._migrations.discard(place)
+            pause = progress.longest_gap if progress.sends == 1 else 0.0
             self._places.end(place, ending, pause)
             progress.excluded = (*progress.excluded, place.server)
             if ending is states.RunEnding.ANSWERED and channel.server == place.server:
-                self._channels.keep(channel)
+                self._channels.release(channel)
             else:
                 channel.close()
         return ending is states.RunEnding.ANSWERED
 
-    def _connect(
+    def _open_channel(
         self,
         order: orders.Order,
         place: places.Place,
@@ -224,26 +228,28 @@
                     "the server has left",
                     code="server-left",
                     status=503,
-                    retry_after=attempts.REJECTED_RETRY_SECONDS,
+                    retry_after=attempts.REJECTED_RETRY_AFTER_SECONDS,
                     step="connect",
                     peer=place.server,
                 )
-            once_only = not order.route.is_repeatable
-            return self._channels.open(entry, once_only=once_only)
+            at_most_once = not order.route.is_repeatable
+            return self._channels.open(entry, at_most_once=at_most_once)
         except errors.NotRun as error:
             self._places.end(place, states.RunEnding.UNREACHABLE)
             progress.excluded = (*progress.excluded, place.server)
-            progress.connects += 1
+            progress.connect_failures += 1
             if (
-                progress.connects < CONNECTS_MAX
-                and order.left() > attempts.SECOND_TRY_SECONDS
+                progress.connect_failures < CONNECT_FAILURES_MAX
+                and order.remaining_seconds() > attempts.RETRY_SECONDS_MIN
             ):
                 return None
             if progress.may_have_run:
-                raise endings.make_unknown(order, progress, str(error)) from error
+                raise endings.make_outcome_unknown(
+                    order, progress, str(error)
+                ) from error
             raise
 
-    def _check_wanted(
+    def _check_before_send(
         self,
         order: orders.Order,
         place: places.Place,
@@ -257,12 +263,12 @@
         placed crashes one more server.
         """
         try:
-            if order.left() <= 0:
+            if order.remaining_seconds() <= 0:
                 raise errors.NotRun(
                     "the time of the request is over",
                     code="no-place-in-time",
                     status=503,
-                    retry_after=attempts.REJECTED_RETRY_SECONDS,
+                    retry_after=attempts.REJECTED_RETRY_AFTER_SECONDS,
                     step="send",
                     peer=place.server,
                 )
@@ -270,19 +276,19 @@
                 raise ConnectionAbortedError("the caller has left")
             self._quarantine.check(order, progress)
         except errors.NotRun as refusal:
-            self._give_back(place, channel)
+            self._release_unused(place, channel)
             raise endings.make_refusal(order, progress, refusal) from refusal
         except ConnectionAbortedError:
-            self._give_back(place, channel)
+            self._release_unused(place, channel)
             raise
         self._quarantine.note_sent(order, progress)
 
-    def _give_back(self, place: places.Place, channel: channels.Channel) -> None:
+    def _release_unused(self, place: places.Place, channel: channels.Channel) -> None:
         """Close a connection on which nothing was sent, and free its place."""
         channel.close()
         self._places.end(place, states.RunEnding.UNUSED)
 
-    def _pass_on(
+    def _relay_reply(
         self,
         order: orders.Order,
         place: places.Place,
@@ -291,22 +297,24 @@
         sink: orders.Sink,
     ) -> states.RunEnding:
         """Write an answer; returns ANSWERED unless it is to be repeated."""
-        if reply.status >= 500 and self._attempts.may_repeat(order, progress):
+        if reply.status >= 500 and self._attempts.reserve_retry(order, progress):
             progress.may_have_run = True
-            progress.failure = (reply, reply.read_whole())
+            progress.server_failure = (reply, reply.read_whole())
             return states.RunEnding.FAILED
         is_stream = order.route.kind is catalog.RouteKind.STREAM
         if is_stream and reply.is_success:
-            self._sender.pass_stream(order, place, progress, reply, sink)
+            self._sender.relay_stream(order, place, progress, reply, sink)
         elif progress.is_answering:
-            raise reply.make_lost(f"status {reply.status} in the middle of a stream")
+            raise reply.make_answer_lost(
+                f"status {reply.status} in the middle of a stream"
+            )
         else:
             body = reply.read_whole()
-            sender.write_whole(sink, reply, body)
-            progress.first_at = time.monotonic()
+            sender.write_reply(sink, reply, body)
+            progress.first_event_at = time.monotonic()
         return states.RunEnding.ANSWERED
 
-    def _note_loss(
+    def _report_lost_answer(
         self,
         order: orders.Order,
         channel: channels.Channel,
@@ -322,10 +330,10 @@
         if standing is not quarantine.Standing.CLEAR:
             self._crashwatch.wait_settled(channel.entry)
 
-    def _give_failure(
+    def _write_server_failure(
         self, order: orders.Order, progress: requestprogress.Progress, sink: orders.Sink
     ) -> None:
-        assert progress.failure is not None
-        reply, body = progress.failure
-        sender.write_whole(sink, reply, body)
-        endings.settle(self._meters, order, progress, ids.ServerId(""))
+        assert progress.server_failure is not None
+        reply, body = progress.server_failure
+        sender.write_reply(sink, reply, body)
+        endings.record_answered(self._metrics, order, progress, ids.ServerId(""))
--- a/celeryspan/gateway/channels.py
+++ b/celeryspan/gateway/channels.py
@@ -24,34 +24,34 @@
 """A server's port answers within a few milliseconds; one that is dark never does, and
 the request can still go to another one."""
 
-SILENT_MS = 1_000
+UNACKNOWLEDGED_MS_MAX = 1_000
 """What was sent and is not acknowledged for this long is lost: the other end has no
 power or the connection has been forgotten on the way. In milliseconds."""
 
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS_MAX),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 )
 
-IDLE_MAX = 24
+IDLE_PER_SERVER_MAX = 24
 """Idle connections kept for each server."""
 
-IDLE_SECONDS = 4.0
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
 """How long one is kept if the server does not say; below the 5 s that are common."""
 
-IDLE_MARGIN_SECONDS = 1.0
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
 """A server closes an idle connection after whole seconds; what is sent as it closes is
 lost, so that a connection this close to its end is not used."""
 
-FRESH_SECONDS = 1.0
+AT_MOST_ONCE_IDLE_SECONDS_MAX = 1.0
 """A request that must not run twice takes a kept connection only if it was idle for
 less: one that the server has dropped meanwhile loses the request for good."""
 
-LIMIT_SECONDS = 0.1
+TIMEOUT_TOLERANCE_SECONDS = 0.1
 """A limit of reads may be this much late: to set it anew for each event of a stream is
 one more system call for each."""
 
@@ -60,7 +60,7 @@
 
 TIMEOUT_PATTERN = re.compile(r"timeout=(\d+)")
 
-FAULTS = (OSError, http.client.HTTPException, ValueError)
+CONNECTION_ERRORS = (OSError, http.client.HTTPException, ValueError)
 """What can go wrong on a connection once it is open."""
 
 
@@ -94,15 +94,15 @@
     def __init__(self, entry: catalog.ServerEntry, sock: socket.socket) -> None:
         self.server = entry.server
         self.entry = entry
-        self.kept_until = 0.0
+        self.reusable_until = 0.0
         self.idle_since = time.monotonic()
         self.is_new = True
         self._socket = sock
         self._reader = sock.makefile("rb")
-        self._is_spoilt = False
-        self._use = 0
+        self._is_unusable = False
+        self._use_number = 0
         self._use_lock = threading.Lock()
-        self._until = self._limited_at = 0.0
+        self._read_deadline = self._timeout_set_at = 0.0
 
     def send(self, data: bytes, until: float) -> None:
         """Send a whole request, or as much as the server reads before it answers.
@@ -128,7 +128,7 @@
                 if state & select.POLLOUT:
                     view = view[self._socket.send(view) :]
                 elif state & (select.POLLIN | select.POLLHUP | select.POLLERR):
-                    self._is_spoilt = True
+                    self._is_unusable = True
                     return
 
     def receive(
@@ -140,7 +140,7 @@
         this connection; it is read to its end and dropped.
         """
         for _ in range(STALE_ANSWERS_MAX):
-            self.limit(until)
+            self.set_read_deadline(until)
             shared = _SharedReader(self._reader)
             answer = http.client.HTTPResponse(shared, method=method)
             answer.begin()
@@ -153,7 +153,7 @@
             answer.read()
         raise http.client.HTTPException("only answers to other requests")
 
-    def limit(self, until: float) -> None:
+    def set_read_deadline(self, until: float) -> None:
         """Let reads fail at a time.
 
         Raises
@@ -165,49 +165,52 @@
         left = until - now
         if left <= 0:
             raise TimeoutError("time is over")
-        if until != self._until or now - self._limited_at > LIMIT_SECONDS:
-            self._until, self._limited_at = until, now
+        if (
+            until != self._read_deadline
+            or now - self._timeout_set_at > TIMEOUT_TOLERANCE_SECONDS
+        ):
+            self._read_deadline, self._timeout_set_at = until, now
             self._socket.settimeout(left)
 
     def _set_blocking(self, is_blocking: bool) -> None:
         self._socket.setblocking(is_blocking)
-        self._until = 0.0  # The limit of reads is gone.
+        self._read_deadline = 0.0  # The limit of reads is gone.
 
-    def is_clean(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether no byte waits that belongs to no request, and it is not closed."""
-        if self._is_spoilt:
+        if self._is_unusable:
             return False
         try:
             self._set_blocking(False)
             return not self._reader.peek(1) and not urllib3_wait.wait_for_read(
                 self._socket, 0
             )
-        except FAULTS:
+        except CONNECTION_ERRORS:
             return False
 
-    def note_answer(self, answer: http.client.HTTPResponse) -> None:
+    def update_keep_alive(self, answer: http.client.HTTPResponse) -> None:
         """Take from an answer whether and how long the connection may be kept."""
         if answer.will_close:
-            self._is_spoilt = True
+            self._is_unusable = True
             return
         found = TIMEOUT_PATTERN.search(answer.getheader("Keep-Alive") or "")
-        seconds = float(found.group(1)) if found else IDLE_SECONDS
+        seconds = float(found.group(1)) if found else DEFAULT_KEEP_ALIVE_SECONDS
         now = time.monotonic()
         self.idle_since = now
-        self.kept_until = now + max(0.0, seconds - IDLE_MARGIN_SECONDS)
+        self.reusable_until = now + max(0.0, seconds - KEEP_ALIVE_MARGIN_SECONDS)
         self.is_new = False
 
-    def make_abort(self) -> Callable[[], None]:
+    def make_abort_callback(self) -> Callable[[], None]:
         """Return what ends the connection for as long as its present use lasts.
 
         A caller's closing is noticed by another thread, at times after the request has
         ended and the connection serves somebody else's, whose answer would be lost.
         """
-        use = self._use
+        use = self._use_number
 
         def abort_use() -> None:
             with self._use_lock:
-                if self._use == use:
+                if self._use_number == use:
                     self.abort()
 
         return abort_use
@@ -215,7 +218,7 @@
     def end_use(self) -> None:
         """Note that a request is done with the connection."""
         with self._use_lock:
-            self._use += 1
+            self._use_number += 1
 
     def abort(self) -> None:
         """Wake the thread that reads; it meets the end of the connection."""
@@ -241,11 +244,13 @@
         self._lock = threading.Lock()
         self._idle: dict[ids.ServerId, collections.deque[Channel]] = {}
         # All idle ones, the one that was idle for longest first.
-        self._by_age: collections.OrderedDict[Channel, None] = collections.OrderedDict()
+        self._idle_by_age: collections.OrderedDict[Channel, None] = (
+            collections.OrderedDict()
+        )
         allowed = getattr(box.settings, "descriptors_max", 0)
         self._idle_max = callerconnections.divide(allowed).servers
         self._open: weakref.WeakSet[Channel] = weakref.WeakSet()
-        self._entries: Mapping[ids.ServerId, catalog.ServerEntry] = {}
+        self._usable: Mapping[ids.ServerId, catalog.ServerEntry] = {}
         self._opened = 0
         self._reused = 0
 
@@ -256,7 +261,7 @@
         """Close the idle connections."""
         with self._lock:
             idle, self._idle = self._idle, {}
-            self._by_age.clear()
+            self._idle_by_age.clear()
         for channels in idle.values():
             for channel in channels:
                 channel.close()
@@ -265,12 +270,12 @@
         """Return counts for the operator."""
         return {"opened": self._opened, "reused": self._reused}
 
-    def open(self, entry: catalog.ServerEntry, *, once_only: bool) -> Channel:
+    def open(self, entry: catalog.ServerEntry, *, at_most_once: bool) -> Channel:
         """Return a connection on which nothing of a request has been sent.
 
         Parameters
         ----------
-        once_only : bool
+        at_most_once : bool
             The request must not run twice.
 
         Raises
@@ -278,7 +283,7 @@
         errors.NotRun
             If the server does not accept.
         """
-        channel = self._take_idle(entry.server, once_only)
+        channel = self._take_idle(entry.server, at_most_once)
         if channel is not None:
             self._reused += 1
             return channel
@@ -300,41 +305,41 @@
             self._open.add(channel)
         return channel
 
-    def keep(self, channel: Channel) -> None:
+    def release(self, channel: Channel) -> None:
         """Keep a connection whose last answer has been read to its end."""
         channel.end_use()
         now = time.monotonic()
-        if now >= channel.kept_until or not channel.is_clean():
+        if now >= channel.reusable_until or not channel.is_reusable():
             channel.close()
             return
         with self._lock:
-            if self._is_dead(channel):
+            if self._is_superseded(channel):
                 channel.close()
                 return
             channels = self._idle.setdefault(channel.server, collections.deque())
             channels.append(channel)
-            self._by_age[channel] = None
-            surplus = self._take_surplus(channels)
+            self._idle_by_age[channel] = None
+            surplus = self._evict_surplus(channels)
         for each in surplus:
             each.close()
 
-    def _take_surplus(self, channels: collections.deque[Channel]) -> list[Channel]:
+    def _evict_surplus(self, channels: collections.deque[Channel]) -> list[Channel]:
         """Take out what is too much for one server, or for all; holds the lock.
 
         A bound for each server alone is none where there are hundreds of them: the
         process would have no descriptor left for callers and for the directory.
         """
         surplus = []
-        if len(channels) > IDLE_MAX:
+        if len(channels) > IDLE_PER_SERVER_MAX:
             surplus.append(channels.popleft())
-            del self._by_age[surplus[0]]
-        while len(self._by_age) > self._idle_max:
-            oldest, _ = self._by_age.popitem(last=False)
+            del self._idle_by_age[surplus[0]]
+        while len(self._idle_by_age) > self._idle_max:
+            oldest, _ = self._idle_by_age.popitem(last=False)
             self._idle[oldest.server].remove(oldest)
             surplus.append(oldest)
         return surplus
 
-    def drop(self, usable: Mapping[ids.ServerId, catalog.ServerEntry]) -> None:
+    def set_servers(self, usable: Mapping[ids.ServerId, catalog.ServerEntry]) -> None:
         """Close the idle connections to servers that are not among these.
 
         Those to an earlier incarnation of one of them are dead, and with a server that
@@ -342,38 +347,41 @@
         repeated or given up at once.
         """
         with self._lock:
-            self._entries = usable
+            self._usable = usable
             gone = [self._idle.pop(name) for name in self._idle.keys() - usable.keys()]
             for channel in itertools.chain.from_iterable(gone):
-                del self._by_age[channel]
-            cut = [channel for channel in self._open if self._is_dead(channel)]
+                del self._idle_by_age[channel]
+            cut = [channel for channel in self._open if self._is_superseded(channel)]
         for channels in gone:
             for channel in channels:
                 channel.close()
         for channel in cut:
             channel.abort()
 
-    def _is_dead(self, channel: Channel) -> bool:
+    def _is_superseded(self, channel: Channel) -> bool:
         """Whether a connection leads to an earlier incarnation; holds the lock.
 
         The server's entry may have lapsed in between, so that only the entry with which
         the connection was opened tells.
         """
-        current = self._entries.get(channel.server)
+        current = self._usable.get(channel.server)
         return current is not None and current.succeeds(channel.entry)
 
-    def _take_idle(self, server: ids.ServerId, once_only: bool) -> Channel | None:
+    def _take_idle(self, server: ids.ServerId, at_most_once: bool) -> Channel | None:
         while True:
             with self._lock:
                 channels = self._idle.get(server)
                 if not channels:
                     return None
                 channel = channels.pop()
-                del self._by_age[channel]
+                del self._idle_by_age[channel]
             now = time.monotonic()
-            if once_only and now - channel.idle_since > FRESH_SECONDS:
-                self.keep(channel)
+            if (
+                at_most_once
+                and now - channel.idle_since > AT_MOST_ONCE_IDLE_SECONDS_MAX
+            ):
+                self.release(channel)
                 return None
-            if now < channel.kept_until and channel.is_clean():
+            if now < channel.reusable_until and channel.is_reusable():
                 return channel
             channel.close()
--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -85,13 +85,13 @@
         if _is_timeout(lost) or order.presence.gone:
             return
         now = time.monotonic()
-        since = progress.begun_at or progress.placed_at
+        since = progress.answer_begun_at or progress.last_sent_at
         run = crashes.LostRun(
             request=order.request,
             entry=entry,
             fingerprint=progress.fingerprint or self.make_fingerprint(order),
             seconds=now - since,
-            is_begun=progress.begun_at is not None,
+            is_begun=progress.answer_begun_at is not None,
             trial=progress.strikes + 1,
         )
         events.log(
--- a/celeryspan/gateway/endings.py
+++ b/celeryspan/gateway/endings.py
@@ -13,8 +13,8 @@
     from celeryspan.gateway import orders, requestprogress
 
 
-def settle(
-    meters: metrics.Metrics,
+def record_answered(
+    metrics_service: metrics.Metrics,
     order: orders.Order,
     progress: requestprogress.Progress,
     server: ids.ServerId,
@@ -24,21 +24,23 @@
     account = order.account or ids.AccountId("")
     took = now - order.received_at
     first = None
-    if progress.first_at is not None:
-        first = round(progress.first_at - order.received_at, 3)
-        meters.observe_first_token(order.service, account, first)
+    if progress.first_event_at is not None:
+        first = round(progress.first_event_at - order.received_at, 3)
+        metrics_service.observe_first_token(order.service, account, first)
     cost = float(order.incoming.prompt_tokens or 1)
-    meters.observe_request(order.service, account, states.Outcome.RAN, took, cost)
+    metrics_service.observe_request(
+        order.service, account, states.Outcome.RAN, took, cost
+    )
     events.log(
         events.Event.REQUEST_SETTLED,
         request=order.request,
         server=server,
         account=account,
         attempts=progress.sends,
-        waited=round(progress.placed_at - order.received_at, 3),
+        waited=round(progress.last_sent_at - order.received_at, 3),
         first=first,
         objective=order.route.target_latency,
-        gap=round(progress.gap, 3),
+        gap=round(progress.longest_gap, 3),
         gap_max=order.route.gap_max,
         seconds=round(took, 3),
         prompt=order.incoming.prompt_tokens,
@@ -53,17 +55,17 @@
 ) -> Exception:
     """Return a refusal, or what may be said instead after something was sent."""
     if progress.is_answering:
-        return make_lost(progress, str(refusal))
+        return make_answer_lost(progress, str(refusal))
     if progress.may_have_run:
-        return make_unknown(order, progress, str(refusal))
+        return make_outcome_unknown(order, progress, str(refusal))
     return refusal
 
 
-def make_unknown(
+def make_outcome_unknown(
     order: orders.Order, progress: requestprogress.Progress, reason: str
 ) -> errors.OutcomeUnknown:
     """Return what is said of a request that was sent and may have run."""
-    timed_out = progress.timed_out or order.left() <= 0
+    timed_out = progress.timed_out or order.remaining_seconds() <= 0
     return errors.OutcomeUnknown(
         f"sent {progress.sends} times, no whole answer: {reason}",
         code="answer-lost",
@@ -72,7 +74,9 @@
     )
 
 
-def make_lost(progress: requestprogress.Progress, reason: str) -> backend.AnswerLost:
+def make_answer_lost(
+    progress: requestprogress.Progress, reason: str
+) -> backend.AnswerLost:
     """Return what ends an answer that was begun and can't be gone on with."""
     return backend.AnswerLost(
         f"broke off above event {progress.last_event!r}: {reason}",
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -30,21 +30,21 @@
     from celeryspan.gateway import carrier, catalogues
     from celeryspan.services import membership
 
-STARTING_SECONDS = 0.5
+NOT_READY_RETRY_AFTER_SECONDS = 0.5
 """When to come back to a router that knows no configuration yet."""
 
-OVERLOAD_SECONDS = 0.5
+OVERLOAD_RETRY_AFTER_SECONDS = 0.5
 """When to come back to a router that has no thread left."""
 
 LATENESS_TICK_SECONDS = 0.1
 
-COUNT_SECONDS = 1.0
+CONNECTION_COUNT_SECONDS = 1.0
 """Time between two counts of the connections for the metrics."""
 
 ID_HEADER = names.REQUEST_ID.lower().encode()
 
-IDLE_MARGIN = 1.2
-IDLE_MARGIN_SECONDS = 3.0
+IDLE_TIMEOUT_FACTOR = 1.2
+IDLE_TIMEOUT_MARGIN_SECONDS = 3.0
 """Callers may use a connection until the idle limit; closing it later by this factor
 and time never crosses a request on its way, also when a clock is stepped."""
 
@@ -66,7 +66,7 @@
         self.sent_headers = True
         code = int(str(status)[:3])
         error = refusals.Refused(str(msg or status), code="malformed", status=code)
-        sink = callersinks.CallerSink(self, closes=True)
+        sink = callersinks.CallerSink(self, close_after=True)
         refusals.write_refusal(sink, "", error)
 
 
@@ -80,7 +80,7 @@
 
     def hand_over(self, connection: _Connection) -> None:
         """Refuse at once what this router can't take; give the rest to a thread."""
-        if self.is_accepting_thread() and self.front.refuse_quickly(connection):
+        if self.is_accepting_thread() and self.front.refuse_early(connection):
             connection.close()
         else:
             super().hand_over(connection)
@@ -103,7 +103,7 @@
         self._carrier: carrier.Carrier = box.find("carrier")
         self._catalogues: catalogues.CataloguesService = box.find("catalogues")
         self._membership: membership.MembershipService = box.find("membership")
-        self._meters: metrics.Metrics = box.find("metrics")
+        self._metrics: metrics.Metrics = box.find("metrics")
         self._random = random.Random(f"{box.settings.router} {time.time_ns()}")
         self._lock = threading.Lock()
         self._in_progress: dict[int, orders.Order | None] = {}
@@ -145,13 +145,13 @@
         idle, _ = self._server.count_connections()
         return {
             "connections_idle": idle,
-            "in_progress": self.count(),
+            "in_progress": self.count_in_progress(),
             "in_progress_max": self._overload.limit,
             "lateness_seconds": round(self._overload.lateness, 3),
             "draining": self.draining,
         }
 
-    def count(self) -> int:
+    def count_in_progress(self) -> int:
         """Return how many requests are in progress."""
         return len(self._in_progress)
 
@@ -159,7 +159,7 @@
         """Take no new connections."""
         self._server.stop_listening()
 
-    def cut(self) -> list[str]:
+    def abort_requests(self) -> list[str]:
         """End what is in progress and return the ids of the requests."""
         with self._lock:
             found = [order for order in self._in_progress.values() if order]
@@ -172,7 +172,7 @@
         key = id(request)
         self._in_progress[key] = None
         is_full = not self._server.can_add_keepalive_connection
-        sink = callersinks.CallerSink(request, closes=self.draining or is_full)
+        sink = callersinks.CallerSink(request, close_after=self.draining or is_full)
         name = request.inheaders.get(names.REQUEST_ID.title().encode(), b"")
         order = None
         try:
@@ -183,7 +183,7 @@
             with self._lock:
                 self._in_progress[key] = order
             self._server.watch.add(request.conn.socket, order.presence.leave)
-            self._carry(order, sink)
+            self._forward(order, sink)
         except errors.RequestError as error:
             self._refuse(sink, name.decode("latin-1"), error, order)
         except OSError:
@@ -202,9 +202,9 @@
             with self._lock:
                 del self._in_progress[key]
 
-    def _carry(self, order: orders.Order, sink: callersinks.CallerSink) -> None:
+    def _forward(self, order: orders.Order, sink: callersinks.CallerSink) -> None:
         try:
-            self._carrier.carry(order, sink)
+            self._carrier.forward(order, sink)
         except backend.AnswerLost as lost:
             events.log(
                 events.Event.REQUEST_SETTLED,
@@ -213,42 +213,45 @@
                 error=str(lost),
             )
             if sink.is_begun:
-                sink.cut()
+                sink.abort()
                 return
             raise errors.OutcomeUnknown(
                 lost.message, code="answer-lost", status=502, step=lost.step
             ) from lost
 
-    def refuse_quickly(self, connection: _Connection) -> bool:
+    def refuse_early(self, connection: _Connection) -> bool:
         """Refuse a request that is above the limit; returns whether it was.
 
         False also if it has not come whole yet, or is none: it goes the usual way then.
         """
-        if self._overload.admits(self.count()) or connection.rfile.has_data():
+        if (
+            self._overload.admits(self.count_in_progress())
+            or connection.rfile.has_data()
+        ):
             return False
         try:
-            found = quickrefusals.take_request(connection.socket, ID_HEADER)
+            found = quickrefusals.read_whole_request(connection.socket, ID_HEADER)
         except OSError:
             return False
         if found is None:
             return False
         name = found.request.decode("latin-1")
-        error = self._make_full()
-        self._note_refusal(name, error)
+        error = self._make_router_full_error()
+        self._record_refusal(name, error)
         try:
             quickrefusals.send_answer(
-                connection.socket, refusals.write_refusal_bytes(name, error)
+                connection.socket, refusals.serialize_refusal(name, error)
             )
         except OSError:
             pass  # The caller has left, or does not read; its request has not run.
         return True
 
-    def _make_full(self) -> errors.NotRun:
+    def _make_router_full_error(self) -> errors.NotRun:
         return errors.NotRun(
             "this router has no thread left for the request",
             code="router-full",
             status=503,
-            retry_after=OVERLOAD_SECONDS * (0.5 + self._random.random()),
+            retry_after=OVERLOAD_RETRY_AFTER_SECONDS * (0.5 + self._random.random()),
             step="accept",
         )
 
@@ -259,18 +262,21 @@
                 "this router starts or stops; use another one",
                 code="starting" if current is None else "stopping",
                 status=503,
-                retry_after=STARTING_SECONDS * (0.5 + self._random.random()),
+                retry_after=NOT_READY_RETRY_AFTER_SECONDS
+                * (0.5 + self._random.random()),
                 step="accept",
             )
-        if request.conn.overloaded or not self._overload.admits(self.count() - 1):
-            raise self._make_full()
+        if request.conn.overloaded or not self._overload.admits(
+            self.count_in_progress() - 1
+        ):
+            raise self._make_router_full_error()
         return current
 
-    def _note_refusal(
+    def _record_refusal(
         self, name: str, error: errors.RequestError, order: orders.Order | None = None
     ) -> None:
         """Count and log a refusal; without an order if it was not read whole."""
-        self._meters.count_refusal(error.code)
+        self._metrics.count_refusal(error.code)
         known: dict[str, object] = {}
         if order is not None:
             took = time.monotonic() - order.received_at
@@ -293,14 +299,14 @@
         error: errors.RequestError,
         order: orders.Order | None = None,
     ) -> None:
-        self._note_refusal(name, error, order)
+        self._record_refusal(name, error, order)
         if sink.is_begun:
-            sink.cut()
+            sink.abort()
             return
         try:
             refusals.write_refusal(sink, name, error)
         except OSError:
-            sink.cut()  # The caller has left; there is nobody to tell.
+            sink.abort()  # The caller has left; there is nobody to tell.
 
     def _measure_lateness(self) -> None:
         """Note how much too long this thread sleeps: what all others suffer."""
@@ -310,19 +316,19 @@
             time.sleep(LATENESS_TICK_SECONDS)
             now = time.monotonic()
             late = now - began - LATENESS_TICK_SECONDS
-            self._overload.record(late, self.count(), now)
+            self._overload.record(late, self.count_in_progress(), now)
             if self._busyness.record(self._overload.lateness, now):
                 self._membership.set_busy(self._busyness.is_busy)
             limit = self._overload.limit
-            if limit != before or now - counted_at >= COUNT_SECONDS:
+            if limit != before or now - counted_at >= CONNECTION_COUNT_SECONDS:
                 counted_at = now
                 idle, busy = self._server.count_connections()
-                self._meters.set_connections(idle, busy, limit)
+                self._metrics.set_connections(idle, busy, limit)
             if limit < before:
                 events.log(
                     events.Event.REQUEST_LIMIT_LOWERED,
                     limit=limit,
-                    in_progress=self.count(),
+                    in_progress=self.count_in_progress(),
                     lateness=round(self._overload.lateness, 3),
                 )
             before = limit
@@ -331,6 +337,6 @@
         limits = current.limits
         self._server.max_request_header_size = limits.header_bytes
         self._server.max_request_body_size = limits.body_bytes
-        idle = limits.idle_seconds * IDLE_MARGIN + IDLE_MARGIN_SECONDS
+        idle = limits.idle_seconds * IDLE_TIMEOUT_FACTOR + IDLE_TIMEOUT_MARGIN_SECONDS
         # Never shorter than before: callers may go by an earlier version still.
         self._server.timeout = max(self._server.timeout, idle)
--- a/celeryspan/gateway/migrations.py
+++ b/celeryspan/gateway/migrations.py
@@ -19,7 +19,7 @@
     from celeryspan.gateway import budgets, places, serverlists
     from celeryspan.services import delivery
 
-COPY_SECONDS = 1.0
+COPY_TIMEOUT_SECONDS = 1.0
 """Longest wait for a copy: one of 50,000 tokens takes 0.04 s, twice that to another
 data centre, and waits behind others."""
 
@@ -42,14 +42,14 @@
         self.copy: engines.Copy | None = None
         self._answered = threading.Event()
 
-    def settle(self, copy: engines.Copy | None) -> None:
+    def set_result(self, copy: engines.Copy | None) -> None:
         """Note what the engines have answered."""
         self.copy = copy
         self._answered.set()
 
-    def wait(self) -> engines.Copy | None:
+    def wait_for_copy(self) -> engines.Copy | None:
         """Wait for the answer."""
-        self._answered.wait(2 * COPY_SECONDS)
+        self._answered.wait(2 * COPY_TIMEOUT_SECONDS)
         return self.copy
 
 
@@ -58,7 +58,7 @@
     """Carries out the moves that homes decide."""
 
     def __init__(self, box: kernel.Kernel) -> None:
-        self._budgets: budgets.Budgets = box.find("budgets")
+        self._budgets: budgets.RetryBudgets = box.find("budgets")
         self._delivery: delivery.DeliveryService = box.find("delivery")
         self._places: places.Places = box.find("places")
         self._servers: serverlists.ServersService = box.find("servers")
@@ -66,7 +66,7 @@
 
     def start(self) -> None:
         """Begin to take moves."""
-        self._delivery.subscribe(messages.RunMove, self._take)
+        self._delivery.subscribe(messages.RunMove, self._handle_move)
 
     def stop(self) -> None:
         """Close the connections."""
@@ -75,12 +75,12 @@
     def take_copy(self, place: places.Place) -> Migration | None:
         """Return the migration of a run whose stream has ended, if it was stopped."""
         migration = place.migration
-        if migration is None or migration.wait() is None:
+        if migration is None or migration.wait_for_copy() is None:
             return None
         place.migration = None
         return migration
 
-    def drop(self, place: places.Place) -> None:
+    def discard(self, place: places.Place) -> None:
         """Free a copy that nobody goes on with: its caller has left."""
         migration, place.migration = place.migration, None
         if migration is None:
@@ -89,22 +89,22 @@
         if migration.copy is not None:
             self._client.free(migration.source.address, migration.copy.handle)
 
-    def _take(
+    def _handle_move(
         self, home: ids.RouterId, _: ids.Incarnation, move: messages.RunMove
     ) -> None:
         place = self._places.find_held(move.request)
-        migration = self._begin(place, move) if place is not None else None
+        migration = self._start(place, move) if place is not None else None
         if place is None or migration is None:
-            stays = messages.RunMoved(
+            not_moved = messages.RunMoved(
                 move.request, move.pool, move.server, move.target, False
             )
-            self._delivery.send(home, stays)
+            self._delivery.send(home, not_moved)
             return
         threading.Thread(
             target=self._copy, args=(place, migration), name="move", daemon=True
         ).start()
 
-    def _begin(self, place: places.Place, move: messages.RunMove) -> Migration | None:
+    def _start(self, place: places.Place, move: messages.RunMove) -> Migration | None:
         usable = self._servers.usable()
         source, target = usable.get(move.server), usable.get(move.target)
         if place.server != move.server or place.migration is not None:
@@ -112,7 +112,7 @@
         if source is None or target is None:
             return None
         service, _, _ = shards.parse_pool(move.pool)
-        if not self._budgets.take(service):
+        if not self._budgets.try_take(service):
             return None  # The target counts one more arrival for this request.
         place.migration = Migration(source, target)
         return place.migration
@@ -126,12 +126,12 @@
                 migration.source.server,
                 place.ask.request,
                 migration.target.address,
-                COPY_SECONDS,
+                COPY_TIMEOUT_SECONDS,
             )
         except errors.OutcomeUnknown as unknown:
             # If the run was stopped its stream ends, and is lost as any other.
             copy, error = None, str(unknown)
-        migration.settle(copy)
+        migration.set_result(copy)
         events.log(
             events.Event.RUN_MOVED,
             request=place.ask.request,
--- a/celeryspan/gateway/orders.py
+++ b/celeryspan/gateway/orders.py
@@ -25,7 +25,7 @@
     def finish(self) -> None:
         """End the answer as whole."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the answer so that nobody takes it for whole."""
 
 
@@ -59,6 +59,6 @@
         """The request's id."""
         return self.incoming.request
 
-    def left(self) -> float:
+    def remaining_seconds(self) -> float:
         """Return the seconds until the deadline."""
         return self.deadline - time.monotonic()
--- a/celeryspan/gateway/quickrefusals.py
+++ b/celeryspan/gateway/quickrefusals.py
@@ -18,14 +18,16 @@
 PEEK_BYTES = 65_536
 """A request that is longer, or has not come whole yet, goes the usual way."""
 
-END = b"\r\n\r\n"
-LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*(?=\r\n)", re.IGNORECASE)
-ANY_LENGTH = re.compile(rb"content-length", re.IGNORECASE)
-CHUNKED = re.compile(rb"transfer-encoding", re.IGNORECASE)
-START = re.compile(rb"[A-Z]+ \S+ HTTP/1\.1\r\n")
+HEAD_END = b"\r\n\r\n"
+CONTENT_LENGTH = re.compile(
+    rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*(?=\r\n)", re.IGNORECASE
+)
+CONTENT_LENGTH_NAME = re.compile(rb"content-length", re.IGNORECASE)
+TRANSFER_ENCODING_NAME = re.compile(rb"transfer-encoding", re.IGNORECASE)
+REQUEST_LINE = re.compile(rb"[A-Z]+ \S+ HTTP/1\.1\r\n")
 
 
-class Glimpse(NamedTuple):
+class BufferedRequest(NamedTuple):
     """A whole request as it lies in a connection's buffer.
 
     Attributes
@@ -40,7 +42,7 @@
     request: bytes
 
 
-def find_request(data: bytes, id_header: bytes) -> Glimpse | None:
+def parse_whole_request(data: bytes, id_header: bytes) -> BufferedRequest | None:
     """Return the one whole request that these bytes are, or None.
 
     Parameters
@@ -50,28 +52,32 @@
     id_header : bytes
         Name of the header with the request's id, in lower case.
     """
-    end = data.find(END)
-    if end < 0 or START.match(data) is None:
+    end = data.find(HEAD_END)
+    if end < 0 or REQUEST_LINE.match(data) is None:
         return None
     head = data[: end + 2]
-    if CHUNKED.search(head):
+    if TRANSFER_ENCODING_NAME.search(head):
         return None
-    lengths = LENGTH.findall(head)
-    if len(lengths) != len(ANY_LENGTH.findall(head)) or len(lengths) > 1:
+    lengths = CONTENT_LENGTH.findall(head)
+    if len(lengths) != len(CONTENT_LENGTH_NAME.findall(head)) or len(lengths) > 1:
         return None
-    size = end + len(END) + (int(lengths[0]) if lengths else 0)
-    return Glimpse(size, _find_value(head, id_header)) if size == len(data) else None
+    size = end + len(HEAD_END) + (int(lengths[0]) if lengths else 0)
+    return (
+        BufferedRequest(size, _find_value(head, id_header))
+        if size == len(data)
+        else None
+    )
 
 
 def _find_value(head: bytes, name: bytes) -> bytes:
-    place = head.lower().find(b"\r\n" + name + b":")
-    if place < 0:
+    start = head.lower().find(b"\r\n" + name + b":")
+    if start < 0:
         return b""
-    value = head[place + len(name) + 3 :]
+    value = head[start + len(name) + 3 :]
     return value[: value.index(b"\r\n")].strip()
 
 
-def take_request(sock: socket.socket, id_header: bytes) -> Glimpse | None:
+def read_whole_request(sock: socket.socket, id_header: bytes) -> BufferedRequest | None:
     """Read a whole request off a connection without waiting; None leaves it there.
 
     Raises
@@ -83,7 +89,7 @@
         data = sock.recv(PEEK_BYTES, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return None
-    found = find_request(data, id_header)
+    found = parse_whole_request(data, id_header)
     if found is not None:
         sock.recv(found.size, socket.MSG_DONTWAIT)
     return found
--- a/celeryspan/gateway/refusals.py
+++ b/celeryspan/gateway/refusals.py
@@ -8,7 +8,7 @@
 from celeryspan.gateway import orders
 from celeryspan.platform import names
 
-REASONS = {
+REASON_PHRASES = {
     400: "Bad Request",
     401: "Unauthorized",
     404: "Not Found",
@@ -29,22 +29,22 @@
 
 def write_refusal(sink: orders.Sink, name: str, error: errors.RequestError) -> None:
     """Write the answer to a request that gets none from a server."""
-    headers, body = make_refusal(name, error)
-    sink.write_head(error.status, REASONS.get(error.status, "Refused"), headers)
+    headers, body = _build_refusal(name, error)
+    sink.write_head(error.status, REASON_PHRASES.get(error.status, "Refused"), headers)
     sink.write(body)
     sink.finish()
 
 
-def write_refusal_bytes(name: str, error: errors.RequestError) -> bytes:
+def serialize_refusal(name: str, error: errors.RequestError) -> bytes:
     """Return the same answer as one that ends its connection."""
-    headers, body = make_refusal(name, error)
-    lines = [f"HTTP/1.1 {error.status} {REASONS.get(error.status, 'Refused')}"]
+    headers, body = _build_refusal(name, error)
+    lines = [f"HTTP/1.1 {error.status} {REASON_PHRASES.get(error.status, 'Refused')}"]
     lines += [f"{name}: {value}" for name, value in headers]
     lines.append("Connection: close")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-def make_refusal(
+def _build_refusal(
     name: str, error: errors.RequestError
 ) -> tuple[list[tuple[str, str]], bytes]:
     """Return headers and body of the answer to a request that gets none."""
--- a/celeryspan/gateway/replies.py
+++ b/celeryspan/gateway/replies.py
@@ -68,42 +68,45 @@
         """
         try:
             while True:
-                self._channel.limit(self._order.deadline)
+                self._channel.set_read_deadline(self._order.deadline)
                 piece = self._answer.read1(READ_BYTES)
                 if not piece:
                     break
                 yield piece
-        except channels.FAULTS as error:
-            raise self.make_lost(error) from error
+        except channels.CONNECTION_ERRORS as error:
+            raise self.make_answer_lost(error) from error
         if self._answer.length:
-            raise self.make_lost("the body is shorter than announced")
-        self._channel.note_answer(self._answer)
+            raise self.make_answer_lost("the body is shorter than announced")
+        self._channel.update_keep_alive(self._answer)
 
     def read_whole(self) -> bytes:
         """Return the body; raises backend.AnswerLost."""
         return b"".join(self.read())
 
-    def read_events(self, last_event: str) -> Iterator[Event]:
-        """Yield whole events above an id, as they come.
+    def read_events(self, last_event: str) -> Iterator[EventBlock]:
+        """Yield whole events last_number an id, as they come.
 
         Part of an event is held back until its end: a server may stop in its middle,
         and the next one sends it from its beginning.
         """
-        above = _parse_number(last_event)
-        rest = b""
+        last_number = _parse_number(last_event)
+        buffer = b""
         for piece in self.read():
-            rest += piece
-            end = rest.rfind(EVENT_END)
+            buffer += piece
+            end = buffer.rfind(EVENT_END)
             if end < 0:
                 continue
-            block, rest = rest[: end + len(EVENT_END)], rest[end + len(EVENT_END) :]
-            event = _cut_known(block, above)
+            block, buffer = (
+                buffer[: end + len(EVENT_END)],
+                buffer[end + len(EVENT_END) :],
+            )
+            event = _drop_delivered(block, last_number)
             if event is not None:
                 yield event
-        if rest:
-            yield Event(rest, "")
+        if buffer:
+            yield EventBlock(buffer, "")
 
-    def make_lost(self, reason: object) -> backend.AnswerLost:
+    def make_answer_lost(self, reason: object) -> backend.AnswerLost:
         """Return the error of an answer that is not whole."""
         return backend.AnswerLost(
             f"no whole answer: {reason!r}",
@@ -112,7 +115,7 @@
         )
 
 
-class Event:
+class EventBlock:
     """One or more whole events of a stream.
 
     Attributes
@@ -128,18 +131,19 @@
         self.last_id = last_id
 
 
-def _cut_known(block: bytes, above: int | None) -> Event | None:
+def _drop_delivered(block: bytes, last_number: int | None) -> EventBlock | None:
     """Return a block without events that were passed on before, or None."""
-    if above is not None:
-        kept = [
+    if last_number is not None:
+        new_events = [
             event
             for event in block.split(EVENT_END)[:-1]
-            if (number := _parse_number(_find_id(event))) is None or number > above
+            if (number := _parse_number(_find_id(event))) is None
+            or number > last_number
         ]
-        if not kept:
+        if not new_events:
             return None
-        block = EVENT_END.join(kept) + EVENT_END
-    return Event(block, _find_id(block))
+        block = EVENT_END.join(new_events) + EVENT_END
+    return EventBlock(block, _find_id(block))
 
 
 def _find_id(block: bytes) -> str:
--- a/celeryspan/gateway/requestprogress.py
+++ b/celeryspan/gateway/requestprogress.py
@@ -28,7 +28,7 @@
         A server's own failure, to be passed on if no repeat does better.
     first_at, gap : float
         When the first event was passed on, and the longest pause since, in seconds.
-    placed_at, begun_at : float
+    last_sent_at, answer_begun_at : float
         When it was last sent, and when the first part of that answer came.
     strikes : int
         Crashes in a row under this request that were known when it was last sent.
@@ -38,33 +38,33 @@
 
     def __init__(self) -> None:
         self.sends = 0
-        self.connects = 0
+        self.connect_failures = 0
         self.may_have_run = False
         self.is_answering = False
         self.last_event = ""
         self.excluded: tuple[ids.ServerId, ...] = ()
-        self.failure: tuple[replies.Reply, bytes] | None = None
+        self.server_failure: tuple[replies.Reply, bytes] | None = None
         self.timed_out = False
-        self.first_at: float | None = None
-        self.last_at = 0.0
-        self.gap = 0.0
-        self.placed_at = 0.0
-        self.begun_at: float | None = None
+        self.first_event_at: float | None = None
+        self.last_event_at = 0.0
+        self.longest_gap = 0.0
+        self.last_sent_at = 0.0
+        self.answer_begun_at: float | None = None
         self.strikes = 0
         self.fingerprint: fingerprints.Fingerprint | None = None
 
-    def note_sent(self, now: float) -> None:
+    def record_send(self, now: float) -> None:
         """Note that the request is sent to one more server."""
         self.sends += 1
-        self.placed_at = now
-        self.begun_at = None
+        self.last_sent_at = now
+        self.answer_begun_at = None
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that an event of a stream is passed on."""
-        if self.begun_at is None:
-            self.begun_at = now
-        if self.first_at is None:
-            self.first_at = now
+        if self.answer_begun_at is None:
+            self.answer_begun_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.gap = max(self.gap, now - self.last_at)
-        self.last_at = now
+            self.longest_gap = max(self.longest_gap, now - self.last_event_at)
+        self.last_event_at = now
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -81,15 +81,15 @@
         backend.AnswerLost
             If there is no answer that may be passed on.
         """
-        left = order.left()
-        keeper = self._servers.usable().get(source) if source else None
-        head = write_head(
+        left = order.remaining_seconds()
+        cache_source = self._servers.usable().get(source) if source else None
+        head = _format_request_head(
             order,
             server,
             left,
             progress.last_event,
             moved_from,
-            str(keeper.address) if keeper else "",
+            str(cache_source.address) if cache_source else "",
         )
         events.log(
             events.Event.REQUEST_SENT,
@@ -100,20 +100,20 @@
             left=round(left, 3),
             reused=not channel.is_new,
         )
-        progress.note_sent(time.monotonic())
+        progress.record_send(time.monotonic())
         try:
             channel.send(head + order.body, until)
             answer = channel.receive(order.method, order.request, until)
-        except channels.FAULTS as error:
+        except channels.CONNECTION_ERRORS as error:
             progress.timed_out = time.monotonic() >= order.deadline
             raise backend.AnswerLost(
                 f"no answer: {error!r}", step="read answer", peer=server
             ) from error
         reply = replies.Reply(order, channel, answer)
-        self._check(reply, server)
+        self._check_reply(reply, server)
         return reply
 
-    def _check(self, reply: replies.Reply, server: ids.ServerId) -> None:
+    def _check_reply(self, reply: replies.Reply, server: ids.ServerId) -> None:
         if reply.is_not_run:
             is_gone = reply.status == 421
             if is_gone:
@@ -127,7 +127,7 @@
                 "a success without signature", step="read answer", peer=server
             )
 
-    def pass_stream(
+    def relay_stream(
         self,
         order: orders.Order,
         place: places.Place,
@@ -137,7 +137,7 @@
     ) -> None:
         """Pass a stream on, event by event; raises backend.AnswerLost."""
         for event in reply.read_events(progress.last_event):
-            progress.note_event(time.monotonic())
+            progress.record_event(time.monotonic())
             if not place.is_begun:
                 self._places.begin(place)
             if not progress.is_answering:
@@ -178,15 +178,15 @@
                 )
             except backend.AnswerLost as lost:
                 self._crashwatch.note_loss(order, entry, progress, lost)
-                log_resumption(order, progress, entry.server, str(lost))
+                _log_resumption(order, progress, entry.server, str(lost))
                 continue
             except (backend.Declined, errors.NotRun) as error:
-                log_resumption(order, progress, entry.server, str(error))
+                _log_resumption(order, progress, entry.server, str(error))
                 continue
             is_moved = entry is target
             self._places.settle_migration(place, target.server, is_moved=is_moved)
-            log_resumption(order, progress, entry.server, "")
-            return self._pass_rest(order, place, progress, reply, channel, sink)
+            _log_resumption(order, progress, entry.server, "")
+            return self._relay_rest(order, place, progress, reply, channel, sink)
         self._places.settle_migration(place, target.server, is_moved=False)
         return False
 
@@ -207,9 +207,9 @@
             If it does not go on.
         """
         self._quarantine.check(order, progress)
-        channel = self._channels.open(entry, once_only=True)
+        channel = self._channels.open(entry, at_most_once=True)
         self._quarantine.note_sent(order, progress)
-        order.presence.watch(channel.make_abort())
+        order.presence.watch(channel.make_abort_callback())
         try:
             reply = self.send(
                 order, entry.server, progress, channel, order.deadline, moved_from
@@ -223,7 +223,7 @@
             raise
         return reply, channel
 
-    def _pass_rest(
+    def _relay_rest(
         self,
         order: orders.Order,
         place: places.Place,
@@ -235,20 +235,20 @@
         """Pass on the rest of a stream; returns whether it has ended."""
         is_whole = False
         try:
-            self.pass_stream(order, place, progress, reply, sink)
+            self.relay_stream(order, place, progress, reply, sink)
             is_whole = True
         except backend.AnswerLost as lost:
             self._crashwatch.note_loss(order, channel.entry, progress, lost)
-            log_resumption(order, progress, channel.server, str(lost))
+            _log_resumption(order, progress, channel.server, str(lost))
         finally:
             if is_whole:
-                self._channels.keep(channel)
+                self._channels.release(channel)
             else:
                 channel.close()
         return is_whole
 
 
-def log_resumption(
+def _log_resumption(
     order: orders.Order,
     progress: requestprogress.Progress,
     server: ids.ServerId,
@@ -264,7 +264,7 @@
     )
 
 
-def write_head(
+def _format_request_head(
     order: orders.Order,
     server: ids.ServerId,
     left: float,
@@ -289,7 +289,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def write_whole(sink: orders.Sink, reply: replies.Reply, body: bytes) -> None:
+def write_reply(sink: orders.Sink, reply: replies.Reply, body: bytes) -> None:
     """Write an answer whose body is there."""
     headers = [
         (name, value)
--- a/celeryspan/gateway/stopping.py
+++ b/celeryspan/gateway/stopping.py
@@ -68,12 +68,12 @@
         self._front.refusing = True
         quiet_since = time.monotonic()
         while time.monotonic() < end:
-            if self._front.count():
+            if self._front.count_in_progress():
                 quiet_since = time.monotonic()
             if time.monotonic() - quiet_since > QUIET_SECONDS:
                 break
             time.sleep(TICK_SECONDS)
-        cut = self._front.cut()
+        cut = self._front.abort_requests()
         events.log(events.Event.STOP_CUT_REQUESTS, requests=cut, count=len(cut))
         self.finished.set()
 
--- a/tests/gateway/test_carrier.py
+++ b/tests/gateway/test_carrier.py
@@ -204,13 +204,13 @@
     router = place.start_router()
     front, carrier = router.box.find("front"), router.box.find("carrier")
     front._server.watch.add = lambda *_: None  # It does not come to look.
-    connects, left = carrier._connect, threading.Event()
+    connects, left = carrier._open_channel, threading.Event()
 
     def connect_late(order, found, progress):
         left.wait(support.WAIT_SECONDS)
         return connects(order, found, progress)
 
-    carrier._connect = connect_late
+    carrier._open_channel = connect_late
     caller = router.connect()
     headers = {"Host": support.HOST, "Celeryspan-Credential": support.KEY}
     caller.request("POST", "/bookings/1", body=b"", headers=headers)
@@ -218,7 +218,7 @@
     support.wait_for(lambda: places.report()["held"] == 1)
     caller.close()
     left.set()
-    support.wait_for(lambda: front.count() == 0)
+    support.wait_for(lambda: front.count_in_progress() == 0)
     assert places.report()["held"] == 0
     assert server.seen == []
 
@@ -233,9 +233,9 @@
     channels = router.box.find("channels")
     opens = channels.open
 
-    def open_late(entry, *, once_only):
+    def open_late(entry, *, at_most_once):
         time.sleep(0.3)
-        return opens(entry, once_only=once_only)
+        return opens(entry, at_most_once=at_most_once)
 
     channels.open = open_late
     answer = router.call("/bookings/1", headers={"Celeryspan-Deadline-Ms": "200"})
@@ -334,7 +334,7 @@
     assert support.ask(first, "/notes/1", "r1").status == 200
     # The connection is kept after the answer was read, and the engine is asked what it
     # keeps on one of its own.
-    support.wait_for(lambda: router.box.find("channels")._by_age and server.lists)
+    support.wait_for(lambda: router.box.find("channels")._idle_by_age and server.lists)
     connections = server.connections
     server.event_seconds = 0.2
     kept = router.connect()
--- a/tests/gateway/test_channels.py
+++ b/tests/gateway/test_channels.py
@@ -12,7 +12,7 @@
 from celeryspan import catalog, ids, kernel
 from celeryspan.gateway import channels, settings
 
-DESCRIPTORS = 100
+DESCRIPTORS_MAX = 100
 """Room for 15 idle connections to backend servers."""
 
 SERVERS = 40
@@ -34,12 +34,12 @@
         directory_address="127.0.0.1:4",
         store_address="127.0.0.1:5",
         fleet_keys=("test",),
-        descriptors_max=DESCRIPTORS,
+        descriptors_max=DESCRIPTORS_MAX,
     )
     return channels.Channels(kernel.Kernel(values))
 
 
-def make_idle(stack: contextlib.ExitStack, server: str) -> channels.Channel:
+def make_answered_channel(stack: contextlib.ExitStack, server: str) -> channels.Channel:
     """Return a connection whose last answer has been read."""
     near, far = socket.socketpair()
     stack.enter_context(far)
@@ -54,7 +54,7 @@
     )
     channel = channels.Channel(entry, near)
     stack.callback(channel.close)
-    channel.kept_until = time.monotonic() + 60
+    channel.reusable_until = time.monotonic() + 60
     return channel
 
 
@@ -64,23 +64,23 @@
     Their number had no bound over all servers: with enough of them the process has no
     descriptor left, and neither callers nor the directory are answered.
     """
-    kept = make_channels()
-    used = [make_idle(stack, f"gate-{number}") for number in range(SERVERS)]
+    pool = make_channels()
+    used = [make_answered_channel(stack, f"gate-{number}") for number in range(SERVERS)]
     for channel in used:
-        kept.keep(channel)
-    still_open = [channel for channel in used if channel.is_clean()]
+        pool.release(channel)
+    still_open = [channel for channel in used if channel.is_reusable()]
     assert len(still_open) == 15
     assert still_open == used[-15:], "the longest idle are to go first"
 
 
 def test_connection_taken_again_counts_as_used(stack) -> None:
-    kept = make_channels()
-    first = make_idle(stack, "gate-0")
-    kept.keep(first)
+    pool = make_channels()
+    first = make_answered_channel(stack, "gate-0")
+    pool.release(first)
     for number in range(1, 15):
-        kept.keep(make_idle(stack, f"gate-{number}"))
-    taken = kept.open(first.entry, once_only=False)
+        pool.release(make_answered_channel(stack, f"gate-{number}"))
+    taken = pool.open(first.entry, at_most_once=False)
     assert taken is first
-    kept.keep(first)
-    kept.keep(make_idle(stack, "gate-99"))
-    assert first.is_clean()
+    pool.release(first)
+    pool.release(make_answered_channel(stack, "gate-99"))
+    assert first.is_reusable()
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -14,16 +14,16 @@
 
 from tests.gateway import processes, support
 
-DESCRIPTORS = 300
+DESCRIPTORS_MAX = 300
 """What the process may have; a router at rest uses 17."""
 
-RESOLVE = "/v1/resolve?name=desk.example&region=r&zone=hala-a"
+RESOLVE_PATH = "/v1/resolve?name=desk.example&region=r&zone=hala-a"
 
 CALLERS = 600
 """Connections left open one after the other, twice what the process may have."""
 
 
-def leave_open(
+def call_and_keep_open(
     stack: contextlib.ExitStack, router: processes.ProcessRouter, number: int
 ) -> int:
     """Send one request on a connection that stays open; returns the status."""
@@ -44,8 +44,12 @@
     place.add_server("gate-1")
     store = str(place.store.address)
     with contextlib.ExitStack() as stack:
-        router = stack.enter_context(processes.run_router(tmp_path, store, DESCRIPTORS))
-        statuses = [leave_open(stack, router, number) for number in range(CALLERS)]
+        router = stack.enter_context(
+            processes.run_router(tmp_path, store, DESCRIPTORS_MAX)
+        )
+        statuses = [
+            call_and_keep_open(stack, router, number) for number in range(CALLERS)
+        ]
     assert statuses == [200] * CALLERS
 
 
@@ -59,10 +63,12 @@
     place.add_server("gate-1")
     store = str(place.store.address)
     with contextlib.ExitStack() as stack:
-        router = stack.enter_context(processes.run_router(tmp_path, store, DESCRIPTORS))
+        router = stack.enter_context(
+            processes.run_router(tmp_path, store, DESCRIPTORS_MAX)
+        )
         host, _, port = router.caller_address.partition(":")
         for _ in range(CALLERS):
             silent = socket.create_connection((host, int(port)), support.WAIT_SECONDS)
             stack.enter_context(silent)
-        assert router.get(router.directory_address, RESOLVE) == 200
+        assert router.get(router.directory_address, RESOLVE_PATH) == 200
         assert router.get(router.ready_address, "/v1/readyz") == 200
--- a/tests/gateway/test_full_router.py
+++ b/tests/gateway/test_full_router.py
@@ -1,4 +1,4 @@
-"""One router is asked for many times what it takes at a time, on real sockets."""
+"""One router is futures for many times what it takes at a time, on real sockets."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 CALLERS = 160
 """Callers that come at once, twenty times what the router takes."""
 
-PATIENT = {"Celeryspan-Deadline-Ms": "30000"}
+LONG_DEADLINE = {"Celeryspan-Deadline-Ms": "30000"}
 
-RESOLVE = "/v1/resolve?name=desk.example&region=r&zone=hala-a"
+RESOLVE_PATH = "/v1/resolve?name=desk.example&region=r&zone=hala-a"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class CallerResult:
     """What one caller got."""
 
     request: str
@@ -28,12 +28,12 @@
     body: bytes
 
 
-def ask(router: processes.ProcessRouter, request: str) -> Told:
+def ask(router: processes.ProcessRouter, request: str) -> CallerResult:
     """Send one request on a connection of its own."""
     with contextlib.closing(processes.connect(router.caller_address)) as connection:
-        answer = support.ask(connection, "/notes/1", request, headers=PATIENT)
+        answer = support.ask(connection, "/notes/1", request, headers=LONG_DEADLINE)
         retry_after = answer.getheader("Retry-After")
-        return Told(request, answer.status, retry_after, answer.text)
+        return CallerResult(request, answer.status, retry_after, answer.text)
 
 
 def test_every_caller_of_a_full_router_is_served_or_told_when_to_return(
@@ -50,17 +50,17 @@
     store = str(place.store.address)
     with processes.run_router(tmp_path, store, threads=THREADS) as router:
         with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
-            asked = [pool.submit(ask, router, f"r{n}") for n in range(CALLERS)]
-            assert router.get(router.directory_address, RESOLVE) == 200
+            futures = [pool.submit(ask, router, f"r{n}") for n in range(CALLERS)]
+            assert router.get(router.directory_address, RESOLVE_PATH) == 200
             assert router.get(router.ready_address, "/v1/readyz") == 200
-            told = [each.result() for each in asked]
-    served = {each.request for each in told if each.status == 200}
-    refused = {each.request for each in told if each.status == 503}
+            results = [each.result() for each in futures]
+    served = {each.request for each in results if each.status == 200}
+    refused = {each.request for each in results if each.status == 503}
     assert len(served) + len(refused) == CALLERS
     assert served
     assert refused
     assert set(engine.ran) == served, "a refusal says that the request has not run"
-    for each in told:
+    for each in results:
         if each.status == 200:
             assert each.body.endswith(b"piece 6\n\n")
         else:
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -23,17 +23,17 @@
 
 
 def test_whole_request_is_found_with_its_id() -> None:
-    found = quickrefusals.find_request(WHOLE, ID)
-    assert found == quickrefusals.Glimpse(len(WHOLE), b"r7")
+    found = quickrefusals.parse_whole_request(WHOLE, ID)
+    assert found == quickrefusals.BufferedRequest(len(WHOLE), b"r7")
 
 
 def test_request_without_body_is_whole_at_the_end_of_its_head() -> None:
-    assert quickrefusals.find_request(HEAD + b"\r\n", ID) is not None
+    assert quickrefusals.parse_whole_request(HEAD + b"\r\n", ID) is not None
 
 
 @pytest.mark.parametrize("size", range(len(WHOLE)))
 def test_request_that_has_not_come_whole_is_left(size: int) -> None:
-    assert quickrefusals.find_request(WHOLE[:size], ID) is None
+    assert quickrefusals.parse_whole_request(WHOLE[:size], ID) is None
 
 
 @pytest.mark.parametrize(
@@ -54,13 +54,13 @@
 
     Whoever takes the wrong number of bytes reads the rest as a request of its own.
     """
-    assert quickrefusals.find_request(data, ID) is None
+    assert quickrefusals.parse_whole_request(data, ID) is None
 
 
 @hypothesis.given(strategies.binary(max_size=200))
 def test_any_bytes_are_looked_at_without_an_error(data: bytes) -> None:
     for each in (data, HEAD + data, WHOLE + data):
-        found = quickrefusals.find_request(each, ID)
+        found = quickrefusals.parse_whole_request(each, ID)
         assert found is None or found.size == len(each)
 
 
