--- a/celeryspan/gateway/acceptance.py
+++ b/celeryspan/gateway/acceptance.py
@@ -1,4 +1,4 @@
-"""From the bytes of a request to an order: body, route, account and deadline."""
+"""Parses requests into orders: reads the body, finds route, account and deadline."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 def make_order(
     request: cheroot_server.HTTPRequest, body: bytes, current: catalog.Catalogue
 ) -> orders.Order:
-    """Return the order of a request that has just been read whole.
+    """Return the order for a request whose body has been read.
 
     Raises
     ------
     refusals.Refused
-        If it is not allowed, or not understood.
+        If the request is malformed or not allowed.
     """
-    # The caller's time runs while its request waits in line for a thread.
+    # The caller's timeout includes the time that the request waits for a thread.
     received_at = min(time.monotonic(), request.conn.came_at)
     headers = read_headers(request)
     path = request.uri.partition(b"?")[0].decode("latin-1")
@@ -67,7 +67,7 @@
 
 
 def has_disconnected(request: cheroot_server.HTTPRequest) -> bool:
-    """Whether the caller of a request has closed its connection by now."""
+    """Return whether the caller has closed its connection."""
     descriptor = request.conn.socket.fileno()
     return descriptor < 0 or sockets.is_closed(descriptor)
 
@@ -78,26 +78,26 @@
     Raises
     ------
     refusals.Refused
-        If it is too long or malformed.
+        If the body is too long or malformed.
     ConnectionAbortedError
-        If the caller ends its connection before the end of the body.
+        If the caller closes the connection before the end of the body.
     """
     if not request.chunked_read:
         expected = int(request.inheaders.get(b"Content-Length", 0))
         body = request.rfile.read(expected) if expected else b""
         if len(body) < expected:
-            raise ConnectionAbortedError("the body is shorter than announced")
+            raise ConnectionAbortedError("the body is shorter than its Content-Length")
         return body
     try:
         body = request.rfile.read()
         if not request.rfile.closed:
-            raise ConnectionAbortedError("the body has no last chunk")
+            raise ConnectionAbortedError("the chunked body has no final chunk")
         for _ in request.rfile.read_trailer_lines():
-            pass  # Trailers concern this connection only.
+            pass  # Trailers are not forwarded: they concern this connection only.
         return body
     except cheroot_errors.MaxSizeExceeded as error:
         raise refusals.Refused(
-            "the body is too long", code="too-large", status=413
+            "the body exceeds the size limit", code="too-large", status=413
         ) from error
     except ValueError as error:
         raise refusals.Refused(str(error), code="malformed", status=400) from error
@@ -106,14 +106,14 @@
 def find_account(
     current: catalog.Catalogue, route: catalog.Route, key: str
 ) -> ids.AccountId | None:
-    """Return the client account of a key; None where the route asks for no key.
+    """Return the client account of an API key, or None on an anonymous route.
 
     Raises
     ------
     refusals.Refused
-        If a key is needed and this one is unknown.
+        If the route requires a key and this one is unknown.
     """
     account = current.accounts.get(key) if key else None
     if account is None and current.needs_keys and not route.is_anonymous:
-        raise refusals.Refused("no such key", code="unknown-key", status=401)
+        raise refusals.Refused("unknown API key", code="unknown-key", status=401)
     return account
--- a/celeryspan/gateway/attempts.py
+++ b/celeryspan/gateway/attempts.py
@@ -1,8 +1,8 @@
-"""The kernel service ``attempts``: whether a request may be sent to one more server.
+"""The kernel service ``attempts``: decides whether a request is retried.
 
-A repeat needs a route that allows it, an attempt and time that are left, a caller who
-still waits, and a part of the fleet's budget. Without one of them the request ends
-here, with what may be said of it.
+A retry requires a repeatable route, remaining attempts and time, a caller that is still
+connected, and a retry from the fleet's budget. Otherwise the request ends with an error
+that states whether it may have run.
 """
 
 from __future__ import annotations
@@ -17,28 +17,29 @@
     from celeryspan.gateway import budgets
 
 RETRY_SECONDS_MIN = 0.05
-"""With less time left a repeat can't be answered."""
+"""Minimum time before the deadline for a retry; with less it cannot be answered."""
 
 SILENCE_TIMEOUT_OBJECTIVES = 3.0
-"""A repeatable plain request that is not answered within this many of its objectives is
-sent to another server: its own has stopped, or lost the answer."""
+"""Timeout for the answer to an idempotent request, as a multiple of the route's target
+latency. After it the request is sent to another server: the first one has stopped or
+lost the answer."""
 
 REJECTED_RETRY_AFTER_SECONDS = 0.2
-"""When to come back after a server was full: its queue drains within this time."""
+"""Retry-After when a server was full; its queue drains within this time."""
 
 
 @kernel.register("attempts", needs=("budgets",))
 class Attempts:
-    """Decides on repeats, and takes them from the budget."""
+    """Decides on retries and takes them from the budget."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._budgets: budgets.RetryBudgets = box.find("budgets")
 
     def start(self) -> None:
-        """Nothing to begin."""
+        """Do nothing: the service has no background work."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: the service holds no resources."""
 
     def handle_rejection(
         self,
@@ -46,7 +47,7 @@
         progress: requestprogress.Progress,
         declined: backend.Declined,
     ) -> None:
-        """Let a request that was not run be sent again, or refuse it."""
+        """Return if a rejected request is to be retried; raise an error if not."""
         if self.reserve_retry(order, progress):
             return
         if progress.server_failure is not None or progress.is_answering:
@@ -54,7 +55,7 @@
         if progress.may_have_run:
             raise endings.make_outcome_unknown(order, progress, declined.message)
         raise errors.NotRun(
-            f"rejected: {declined.message}",
+            f"the server rejected the request: {declined.message}",
             code="server-full",
             status=503,
             retry_after=REJECTED_RETRY_AFTER_SECONDS,
@@ -68,10 +69,10 @@
         progress: requestprogress.Progress,
         lost: backend.AnswerLost,
     ) -> None:
-        """Let a request whose answer is lost be sent again, or end it."""
+        """Return if a request without an answer is to be retried; raise if not."""
         progress.may_have_run = True
         if order.presence.gone:
-            raise ConnectionAbortedError("the caller has left")
+            raise ConnectionAbortedError("the caller closed the connection")
         can_retry = order.route.is_repeatable and self.reserve_retry(order, progress)
         if can_retry:
             event = events.Event.STREAM_RESUMED
@@ -85,20 +86,20 @@
     def may_abandon_silent_server(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> bool:
-        """Whether a silent server may be left for another one."""
+        """Return whether a server that does not answer may be replaced by another."""
         return (
             order.route.kind is catalog.RouteKind.IDEMPOTENT
             and progress.sends + 1 < order.route.attempts_max
         )
 
     def compute_silence_timeout(self, order: orders.Order) -> float:
-        """Return after how many seconds a server counts as silent."""
+        """Return the seconds to wait for an answer before another server is tried."""
         return SILENCE_TIMEOUT_OBJECTIVES * order.route.target_latency
 
     def reserve_retry(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> bool:
-        """Whether one more server may get the request; takes it from the budget."""
+        """Return whether the request may be retried, taking one retry if it may."""
         if progress.may_have_run and not order.route.is_repeatable:
             return False
         if progress.is_answering and not progress.last_event:
--- a/celeryspan/gateway/budgets.py
+++ b/celeryspan/gateway/budgets.py
@@ -1,4 +1,4 @@
-"""The kernel service ``budgets``: this router's part of the fleet's repeated sends."""
+"""The kernel service ``budgets``: this router's share of the fleet's retry budget."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @kernel.register("budgets", needs=("poolmap",))
 class RetryBudgets:
-    """Counts requests and repeats of each service."""
+    """Holds a retry budget for each service."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._pool_map: poolmap.PoolMap = box.find("poolmap")
@@ -24,18 +24,18 @@
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Nothing to begin."""
+        """Do nothing: the service has no background work."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: the service holds no resources."""
 
     def record_request(self, service: ids.ServiceId) -> None:
-        """Count a request of a caller."""
+        """Count a caller's request, which adds to the budget."""
         with self._lock:
             self._get_budget(service).record_request(time.monotonic())
 
     def try_take(self, service: ids.ServiceId) -> bool:
-        """Take one repeat from the budget, if one is left."""
+        """Take one retry from the budget; returns whether one was available."""
         with self._lock:
             routers = self._pool_map.count_routers()
             return self._get_budget(service).try_take(time.monotonic(), routers)
--- a/celeryspan/gateway/callersinks.py
+++ b/celeryspan/gateway/callersinks.py
@@ -1,4 +1,4 @@
-"""Where the answer to one caller goes: its connection."""
+"""Writes HTTP answers to callers' connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 
 
 class CallerSink:
-    """Writes one answer to a caller's connection."""
+    """Writes one HTTP answer to a caller's connection.
+
+    Parameters
+    ----------
+    close_after : bool
+        Whether to close the connection after the answer.
+    """
 
     def __init__(
         self, request: cheroot_server.HTTPRequest, *, close_after: bool
@@ -20,7 +26,7 @@
     def write_head(
         self, status: int, reason: str, headers: list[tuple[str, str]]
     ) -> None:
-        """Begin the answer."""
+        """Write the status line and headers; the body is chunked without a length."""
         request = self._request
         names = {name.lower() for name, _ in headers}
         lines = [f"HTTP/1.1 {status} {reason}"]
@@ -36,7 +42,7 @@
         self._send(("\r\n".join(lines) + "\r\n\r\n").encode("latin-1"))
 
     def write(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a part of the body."""
         if not data:
             return
         if self._is_chunked:
@@ -44,13 +50,13 @@
         self._send(data)
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """Mark the end of a complete answer."""
         if self._is_chunked:
             self._send(b"0\r\n\r\n")
         self.is_ended = True
 
     def abort(self) -> None:
-        """Close the connection without the end of the answer."""
+        """Close the connection so that the caller sees an incomplete answer."""
         self._request.close_connection = True
 
     def _send(self, data: bytes) -> None:
--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -1,9 +1,9 @@
-"""The kernel service ``carrier``: from an accepted request to its answer.
+"""The kernel service ``carrier``: forwards accepted requests to backend servers.
 
-Each request runs on the thread of its caller's connection: it waits for a place, opens
-a channel, sends, and passes the answer on. What may be said of it follows from what
-was sent: it has not run as long as no byte has left, or if each server that got it said
-so; else nobody knows.
+Each request is handled on the thread of its caller's connection, which waits for a
+place in the pool, opens a connection, sends the request and relays the answer. The
+request is reported as not run if no byte was sent, or if every server that received it
+said that it did not run it. Otherwise the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     )
 
 CONNECT_FAILURES_MAX = 4
-"""Servers that one request tries to connect to."""
+"""Maximum servers that one request tries to connect to."""
 
 
 @kernel.register(
@@ -58,7 +58,7 @@
     ),
 )
 class Carrier:
-    """Carries orders to backend servers and their answers back."""
+    """Forwards orders to backend servers and relays their answers."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._catalogues: catalogues.CataloguesService = box.find("catalogues")
@@ -75,23 +75,25 @@
         self._data_centre = ids.DataCentreId(box.settings.data_centre)
 
     def start(self) -> None:
-        """Begin to drop connections to servers that have left."""
+        """Subscribe the connection pool to changes of the server list."""
         self._servers.subscribe(self._channels.set_servers)
 
     def stop(self) -> None:
-        """Do nothing: orders end with their callers' threads."""
+        """Do nothing: each order ends with its caller's thread."""
 
     def forward(self, order: orders.Order, sink: orders.Sink) -> None:
-        """Carry an order and write its answer.
+        """Send an order to a backend server and write its answer to the caller.
 
         Raises
         ------
         errors.NotRun
-            If it has not run and never will.
+            If the request has not run and will not run.
         errors.OutcomeUnknown
-            If no answer has been begun and nobody knows whether it ran.
+            If no answer was started and the request may have run.
+        backend.AnswerLost
+            If the answer was started and cannot be completed.
         OSError
-            If the caller is gone.
+            If the caller has disconnected.
         """
         self._budgets.record_request(order.service)
         progress = requestprogress.Progress()
@@ -116,7 +118,7 @@
     def _acquire_place(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> places.Place | None:
-        """Return a place, or None if a server's own failure is the best answer."""
+        """Return a place, or None if an earlier server error is to be returned."""
         order.presence.watch(lambda: self._places.cancel(order.request))
         try:
             self._quarantine.check(order, progress)
@@ -155,7 +157,7 @@
     def _get_isolation_fingerprint(
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> int:
-        """Return the fingerprint of a request that must run apart, or 0."""
+        """Return the fingerprint of a request that must run in isolation, or 0."""
         standing = self._quarantine.find_standing(order, progress)
         if standing is quarantine.Standing.ISOLATED:
             return progress.fingerprint.whole
@@ -168,7 +170,7 @@
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
-        """Send an order to one server; returns whether it has been answered."""
+        """Send an order to one server; returns whether the caller got the answer."""
         channel = self._open_channel(order, place, progress)
         if channel is None:
             return False
@@ -220,12 +222,18 @@
         place: places.Place,
         progress: requestprogress.Progress,
     ) -> channels.Channel | None:
-        """Return a channel, or None if another server is to be tried."""
+        """Return a channel to the server, or None to try another server.
+
+        Raises
+        ------
+        errors.NotRun, errors.OutcomeUnknown
+            If no further server is to be tried.
+        """
         entry = self._servers.usable().get(place.server)
         try:
             if entry is None:
                 raise errors.NotRun(
-                    "the server has left",
+                    "the server has left the pool",
                     code="server-left",
                     status=503,
                     retry_after=attempts.REJECTED_RETRY_AFTER_SECONDS,
@@ -256,16 +264,23 @@
         progress: requestprogress.Progress,
         channel: channels.Channel,
     ) -> None:
-        """Give up in the last step before anything is sent if it must not be.
+        """Check once more, right before sending, that the request may be sent.
 
-        What is sent after the caller has left, or after its time, runs for nobody and
-        takes a place from those who wait; what has come into quarantine since it was
-        placed crashes one more server.
+        A request sent after its caller has disconnected or after its deadline takes
+        capacity from waiting requests without any use. One that was quarantined while
+        it waited would crash another server.
+
+        Raises
+        ------
+        errors.NotRun, errors.OutcomeUnknown, backend.AnswerLost
+            If the deadline has passed or the request is quarantined.
+        ConnectionAbortedError
+            If the caller has disconnected.
         """
         try:
             if order.remaining_seconds() <= 0:
                 raise errors.NotRun(
-                    "the time of the request is over",
+                    "the request's deadline has passed",
                     code="no-place-in-time",
                     status=503,
                     retry_after=attempts.REJECTED_RETRY_AFTER_SECONDS,
@@ -273,7 +288,7 @@
                     peer=place.server,
                 )
             if order.presence.look():
-                raise ConnectionAbortedError("the caller has left")
+                raise ConnectionAbortedError("the caller closed the connection")
             self._quarantine.check(order, progress)
         except errors.NotRun as refusal:
             self._release_unused(place, channel)
@@ -284,7 +299,7 @@
         self._quarantine.note_sent(order, progress)
 
     def _release_unused(self, place: places.Place, channel: channels.Channel) -> None:
-        """Close a connection on which nothing was sent, and free its place."""
+        """Close a connection that was not used and release the place."""
         channel.close()
         self._places.end(place, states.RunEnding.UNUSED)
 
@@ -296,7 +311,7 @@
         reply: replies.Reply,
         sink: orders.Sink,
     ) -> states.RunEnding:
-        """Write an answer; returns ANSWERED unless it is to be repeated."""
+        """Relay an answer; returns FAILED if the request is to be retried."""
         if reply.status >= 500 and self._attempts.reserve_retry(order, progress):
             progress.may_have_run = True
             progress.server_failure = (reply, reply.read_whole())
@@ -305,9 +320,7 @@
         if is_stream and reply.is_success:
             self._sender.relay_stream(order, place, progress, reply, sink)
         elif progress.is_answering:
-            raise reply.make_answer_lost(
-                f"status {reply.status} in the middle of a stream"
-            )
+            raise reply.make_answer_lost(f"status {reply.status} on resuming a stream")
         else:
             body = reply.read_whole()
             sender.write_reply(sink, reply, body)
@@ -321,9 +334,9 @@
         progress: requestprogress.Progress,
         lost: backend.AnswerLost,
     ) -> None:
-        """Let it be found out whether the server has crashed under a request.
+        """Report a lost answer to the crash detector.
 
-        One that is suspected waits for that before it may be sent again.
+        A suspected request waits for the result before it may be retried.
         """
         self._crashwatch.note_loss(order, channel.entry, progress, lost)
         standing = self._quarantine.find_standing(order, progress)
@@ -333,6 +346,7 @@
     def _write_server_failure(
         self, order: orders.Order, progress: requestprogress.Progress, sink: orders.Sink
     ) -> None:
+        """Answer with the server error that was kept while retries were possible."""
         assert progress.server_failure is not None
         reply, body = progress.server_failure
         sender.write_reply(sink, reply, body)
--- a/celeryspan/gateway/channels.py
+++ b/celeryspan/gateway/channels.py
@@ -1,4 +1,4 @@
-"""The kernel service ``channels``: connections to backend servers, kept with care."""
+"""The kernel service ``channels``: a pool of connections to backend servers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from celeryspan.services import callerconnections
 
 CONNECT_SECONDS = 0.4
-"""A server's port answers within a few milliseconds; one that is dark never does, and
-the request can still go to another one."""
+"""Connect timeout. A running server accepts within a few milliseconds; one without
+power never does, and the request can still go to another server."""
 
 UNACKNOWLEDGED_MS_MAX = 1_000
-"""What was sent and is not acknowledged for this long is lost: the other end has no
-power or the connection has been forgotten on the way. In milliseconds."""
+"""Time after which unacknowledged data counts as lost, in milliseconds. The other end
+has no power, or the network has dropped the connection's state."""
 
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -38,37 +38,37 @@
 )
 
 IDLE_PER_SERVER_MAX = 24
-"""Idle connections kept for each server."""
+"""Maximum idle connections per server."""
 
 DEFAULT_KEEP_ALIVE_SECONDS = 4.0
-"""How long one is kept if the server does not say; below the 5 s that are common."""
+"""Keep-alive time if the server announces none; below the common 5 s."""
 
 KEEP_ALIVE_MARGIN_SECONDS = 1.0
-"""A server closes an idle connection after whole seconds; what is sent as it closes is
-lost, so that a connection this close to its end is not used."""
+"""A connection is not used this close to its keep-alive timeout. Servers time out in
+whole seconds, and a request sent while the server closes is lost."""
 
 AT_MOST_ONCE_IDLE_SECONDS_MAX = 1.0
-"""A request that must not run twice takes a kept connection only if it was idle for
-less: one that the server has dropped meanwhile loses the request for good."""
+"""Maximum idle time of a connection for a request that must not run twice. If the
+server has dropped the connection, such a request is lost and cannot be retried."""
 
 TIMEOUT_TOLERANCE_SECONDS = 0.1
-"""A limit of reads may be this much late: to set it anew for each event of a stream is
-one more system call for each."""
+"""Tolerance of read timeouts. Setting the timeout for each event of a stream would cost
+one system call per event."""
 
 STALE_ANSWERS_MAX = 4
-"""Answers of earlier requests that are skipped on one connection."""
+"""Maximum answers to earlier requests that are skipped on one connection."""
 
 TIMEOUT_PATTERN = re.compile(r"timeout=(\d+)")
 
 CONNECTION_ERRORS = (OSError, http.client.HTTPException, ValueError)
-"""What can go wrong on a connection once it is open."""
+"""Exceptions that an open connection may raise."""
 
 
 class _SharedReader(io.RawIOBase):
-    """Lets several answers be read through the one buffer of a connection.
+    """Lets consecutive answers share one read buffer.
 
-    The parser closes its file at the end of an answer; a file of its own for each would
-    swallow bytes of the next answer in its buffer.
+    The parser closes its file at the end of an answer. With a separate file for each
+    answer, bytes of the next answer would be lost in the closed file's buffer.
     """
 
     def __init__(self, reader: io.BufferedReader) -> None:
@@ -81,15 +81,25 @@
         self.peek = reader.peek
 
     def makefile(self, _: str) -> _SharedReader:
-        """Return itself: the parser takes it for a socket."""
+        """Return itself; the parser calls this as on a socket."""
         return self
 
     def close(self) -> None:
-        """Leave the connection open."""
+        """Do nothing, so that the connection stays open."""
 
 
 class Channel:
-    """One connection to a backend server, used by one request at a time."""
+    """One connection to a backend server, used by one request at a time.
+
+    Attributes
+    ----------
+    entry : ServerEntry
+        The server's entry when the connection was opened.
+    reusable_until, idle_since : float
+        Monotonic times, in seconds.
+    is_new : bool
+        Whether no answer has been read on the connection yet.
+    """
 
     def __init__(self, entry: catalog.ServerEntry, sock: socket.socket) -> None:
         self.server = entry.server
@@ -105,16 +115,16 @@
         self._read_deadline = self._timeout_set_at = 0.0
 
     def send(self, data: bytes, until: float) -> None:
-        """Send a whole request, or as much as the server reads before it answers.
+        """Send a request, or as much of it as the server reads before it answers.
 
-        A server may answer before it has read a long body. Waiting for the rest to be
-        taken would end in a deadlock; the connection is not used again, so that no
-        other bytes stand where the rest of the body is due.
+        A server may answer before it has read a long body; waiting until it reads the
+        rest would deadlock. The connection is then not reused, because the server would
+        read the next request as the rest of the body.
 
         Raises
         ------
         OSError
-            If the connection breaks, or time is over.
+            If the connection fails or the deadline passes.
         """
         self._set_blocking(False)
         poll = select.poll()
@@ -123,7 +133,7 @@
         while view:
             left = until - time.monotonic()
             if left <= 0:
-                raise TimeoutError("time is over")
+                raise TimeoutError("deadline passed")
             for _, state in poll.poll(left * 1000):
                 if state & select.POLLOUT:
                     view = view[self._socket.send(view) :]
@@ -136,8 +146,8 @@
     ) -> http.client.HTTPResponse:
         """Read the head of the answer to a request.
 
-        An answer that names another request is a second one to an earlier request on
-        this connection; it is read to its end and dropped.
+        An answer with another request id is a duplicate answer to an earlier request on
+        this connection. It is read to its end and discarded.
         """
         for _ in range(STALE_ANSWERS_MAX):
             self.set_read_deadline(until)
@@ -151,20 +161,20 @@
                 events.Event.STALE_ANSWER_DROPPED, request=request, server=self.server
             )
             answer.read()
-        raise http.client.HTTPException("only answers to other requests")
+        raise http.client.HTTPException("received only answers to other requests")
 
     def set_read_deadline(self, until: float) -> None:
-        """Let reads fail at a time.
+        """Set the time at which reads time out.
 
         Raises
         ------
         TimeoutError
-            If it has come.
+            If it has passed.
         """
         now = time.monotonic()
         left = until - now
         if left <= 0:
-            raise TimeoutError("time is over")
+            raise TimeoutError("deadline passed")
         if (
             until != self._read_deadline
             or now - self._timeout_set_at > TIMEOUT_TOLERANCE_SECONDS
@@ -174,10 +184,10 @@
 
     def _set_blocking(self, is_blocking: bool) -> None:
         self._socket.setblocking(is_blocking)
-        self._read_deadline = 0.0  # The limit of reads is gone.
+        self._read_deadline = 0.0  # This has removed the read timeout.
 
     def is_reusable(self) -> bool:
-        """Whether no byte waits that belongs to no request, and it is not closed."""
+        """Return whether the connection is open and has no unread data."""
         if self._is_unusable:
             return False
         try:
@@ -189,7 +199,7 @@
             return False
 
     def update_keep_alive(self, answer: http.client.HTTPResponse) -> None:
-        """Take from an answer whether and how long the connection may be kept."""
+        """Set how long the connection may be reused, from the headers of an answer."""
         if answer.will_close:
             self._is_unusable = True
             return
@@ -201,10 +211,11 @@
         self.is_new = False
 
     def make_abort_callback(self) -> Callable[[], None]:
-        """Return what ends the connection for as long as its present use lasts.
+        """Return a callback that aborts the connection during its current use only.
 
-        A caller's closing is noticed by another thread, at times after the request has
-        ended and the connection serves somebody else's, whose answer would be lost.
+        Another thread detects that a caller has disconnected. It may do so after the
+        request has ended and another one uses the connection, whose answer would be
+        lost by an abort.
         """
         use = self._use_number
 
@@ -216,16 +227,16 @@
         return abort_use
 
     def end_use(self) -> None:
-        """Note that a request is done with the connection."""
+        """Mark the end of the current use, which disables its abort callback."""
         with self._use_lock:
             self._use_number += 1
 
     def abort(self) -> None:
-        """Wake the thread that reads; it meets the end of the connection."""
+        """Shut the connection down, which wakes the thread that reads from it."""
         try:
             self._socket.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # The connection has ended already.
+            pass  # The connection is closed already.
 
     def close(self) -> None:
         """Close the connection."""
@@ -233,17 +244,17 @@
             self._reader.close()
             self._socket.close()
         except OSError:
-            pass  # It was reset; the descriptor is free either way.
+            pass  # The connection was reset; its descriptor is released anyway.
 
 
 @kernel.register("channels")
 class Channels:
-    """Opens connections to backend servers and keeps some of them open."""
+    """Opens connections to backend servers and keeps idle ones for reuse."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._lock = threading.Lock()
         self._idle: dict[ids.ServerId, collections.deque[Channel]] = {}
-        # All idle ones, the one that was idle for longest first.
+        # All idle connections, the one that has been idle longest first.
         self._idle_by_age: collections.OrderedDict[Channel, None] = (
             collections.OrderedDict()
         )
@@ -255,7 +266,7 @@
         self._reused = 0
 
     def start(self) -> None:
-        """Do nothing: connections are opened when they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     def stop(self) -> None:
         """Close the idle connections."""
@@ -267,21 +278,21 @@
                 channel.close()
 
     def report(self) -> dict[str, object]:
-        """Return counts for the operator."""
+        """Return the counts of opened and reused connections for the operator."""
         return {"opened": self._opened, "reused": self._reused}
 
     def open(self, entry: catalog.ServerEntry, *, at_most_once: bool) -> Channel:
-        """Return a connection on which nothing of a request has been sent.
+        """Return an idle or a new connection to a server.
 
         Parameters
         ----------
         at_most_once : bool
-            The request must not run twice.
+            Whether the request must not run twice.
 
         Raises
         ------
         errors.NotRun
-            If the server does not accept.
+            If the server does not accept a connection.
         """
         channel = self._take_idle(entry.server, at_most_once)
         if channel is not None:
@@ -293,7 +304,7 @@
             )
         except OSError as error:
             raise errors.NotRun(
-                f"no connection: {error}",
+                f"could not connect: {error}",
                 code="server-unreachable",
                 status=503,
                 step="connect",
@@ -306,7 +317,7 @@
         return channel
 
     def release(self, channel: Channel) -> None:
-        """Keep a connection whose last answer has been read to its end."""
+        """Return a connection to the pool after its answer was read completely."""
         channel.end_use()
         now = time.monotonic()
         if now >= channel.reusable_until or not channel.is_reusable():
@@ -324,10 +335,11 @@
             each.close()
 
     def _evict_surplus(self, channels: collections.deque[Channel]) -> list[Channel]:
-        """Take out what is too much for one server, or for all; holds the lock.
+        """Remove the connections above the limits per server and in total.
 
-        A bound for each server alone is none where there are hundreds of them: the
-        process would have no descriptor left for callers and for the directory.
+        The caller holds the lock. A limit per server alone does not suffice with
+        hundreds of servers: the process would have no file descriptors left for callers
+        and for the directory.
         """
         surplus = []
         if len(channels) > IDLE_PER_SERVER_MAX:
@@ -340,29 +352,35 @@
         return surplus
 
     def set_servers(self, usable: Mapping[ids.ServerId, catalog.ServerEntry]) -> None:
-        """Close the idle connections to servers that are not among these.
+        """Replace the list of usable servers and close outdated connections.
 
-        Those to an earlier incarnation of one of them are dead, and with a server that
-        went dark they may stay silent for long: what waits on them is woken, and is
-        repeated or given up at once.
+        Idle connections to servers that are not listed are closed. Connections to an
+        earlier incarnation of a server are dead, but may stay silent for long if the
+        server lost its power. They are aborted, so that their requests are retried or
+        fail at once.
         """
         with self._lock:
             self._usable = usable
-            gone = [self._idle.pop(name) for name in self._idle.keys() - usable.keys()]
-            for channel in itertools.chain.from_iterable(gone):
+            unlisted = [
+                self._idle.pop(name) for name in self._idle.keys() - usable.keys()
+            ]
+            for channel in itertools.chain.from_iterable(unlisted):
                 del self._idle_by_age[channel]
-            cut = [channel for channel in self._open if self._is_superseded(channel)]
-        for channels in gone:
+            superseded = [
+                channel for channel in self._open if self._is_superseded(channel)
+            ]
+        for channels in unlisted:
             for channel in channels:
                 channel.close()
-        for channel in cut:
+        for channel in superseded:
             channel.abort()
 
     def _is_superseded(self, channel: Channel) -> bool:
-        """Whether a connection leads to an earlier incarnation; holds the lock.
+        """Return whether a connection leads to an earlier incarnation of its server.
 
-        The server's entry may have lapsed in between, so that only the entry with which
-        the connection was opened tells.
+        The caller holds the lock. The connection keeps the entry with which it was
+        opened for this comparison, because the server's entry may have expired and
+        returned in between.
         """
         current = self._usable.get(channel.server)
         return current is not None and current.succeeds(channel.entry)
--- a/celeryspan/gateway/endings.py
+++ b/celeryspan/gateway/endings.py
@@ -1,4 +1,4 @@
-"""How a carried request ends: what its caller may be told, and what is noted of it."""
+"""Final results of forwarded requests: errors for callers, metrics and log events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,13 @@
     progress: requestprogress.Progress,
     server: ids.ServerId,
 ) -> None:
-    """Measure and log a request that was answered, last by this server."""
+    """Record metrics and a log event for an answered request.
+
+    Parameters
+    ----------
+    server : ServerId
+        The server that answered last; empty if its error was returned later.
+    """
     now = time.monotonic()
     account = order.account or ids.AccountId("")
     took = now - order.received_at
@@ -53,7 +59,7 @@
     progress: requestprogress.Progress,
     refusal: errors.NotRun,
 ) -> Exception:
-    """Return a refusal, or what may be said instead after something was sent."""
+    """Return the refusal, or the error that replaces it once a request was sent."""
     if progress.is_answering:
         return make_answer_lost(progress, str(refusal))
     if progress.may_have_run:
@@ -64,10 +70,10 @@
 def make_outcome_unknown(
     order: orders.Order, progress: requestprogress.Progress, reason: str
 ) -> errors.OutcomeUnknown:
-    """Return what is said of a request that was sent and may have run."""
+    """Return the error for a request that was sent and may have run."""
     timed_out = progress.timed_out or order.remaining_seconds() <= 0
     return errors.OutcomeUnknown(
-        f"sent {progress.sends} times, no whole answer: {reason}",
+        f"sent {progress.sends} times without a complete answer: {reason}",
         code="answer-lost",
         status=504 if timed_out else 502,
         step="read answer",
@@ -77,8 +83,8 @@
 def make_answer_lost(
     progress: requestprogress.Progress, reason: str
 ) -> backend.AnswerLost:
-    """Return what ends an answer that was begun and can't be gone on with."""
+    """Return the error for an answer that was started and cannot be completed."""
     return backend.AnswerLost(
-        f"broke off above event {progress.last_event!r}: {reason}",
+        f"stream ended after event {progress.last_event!r}: {reason}",
         step="pass on",
     )
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -1,7 +1,8 @@
-"""The kernel service ``front``: the address at which callers are served.
+"""The kernel service ``front``: the HTTP server for callers.
 
-The routes are the operator's and change while requests run, so that nothing of a web
-framework's own routing fits here; cherrypy's server reads the requests.
+Routes come from the operator's configuration and change while requests are in progress,
+which a web framework's static routing does not support. Therefore only cherrypy's HTTP
+server is used, to read the requests.
 """
 
 from __future__ import annotations
@@ -31,26 +32,27 @@
     from celeryspan.services import membership
 
 NOT_READY_RETRY_AFTER_SECONDS = 0.5
-"""When to come back to a router that knows no configuration yet."""
+"""Mean Retry-After of a router that has no configuration yet, or is stopping."""
 
 OVERLOAD_RETRY_AFTER_SECONDS = 0.5
-"""When to come back to a router that has no thread left."""
+"""Mean Retry-After of a router that has no free thread."""
 
 LATENESS_TICK_SECONDS = 0.1
 
 CONNECTION_COUNT_SECONDS = 1.0
-"""Time between two counts of the connections for the metrics."""
+"""Interval at which connections are counted for the metrics."""
 
 ID_HEADER = names.REQUEST_ID.lower().encode()
 
 IDLE_TIMEOUT_FACTOR = 1.2
 IDLE_TIMEOUT_MARGIN_SECONDS = 3.0
-"""Callers may use a connection until the idle limit; closing it later by this factor
-and time never crosses a request on its way, also when a clock is stepped."""
+"""Callers may use a connection until the idle timeout. The router closes it later by
+this factor and margin, so that it never closes a connection on which a request is being
+sent, even if a clock is stepped."""
 
 
 class _Gateway(cheroot_server.Gateway):
-    """Hands a request to the front instead of to an application."""
+    """Passes requests to :class:`Front` instead of a WSGI application."""
 
     def respond(self) -> None:
         self.req.sent_headers = True
@@ -58,7 +60,7 @@
 
 
 class _Request(framing.Request):
-    """A request; refusals of its framing look like all others."""
+    """A request; framing errors are answered like all other refusals."""
 
     def simple_response(self, status: str, msg: str = "") -> None:
         self.close_connection = True
@@ -79,7 +81,7 @@
     front: Front
 
     def hand_over(self, connection: _Connection) -> None:
-        """Refuse at once what this router can't take; give the rest to a thread."""
+        """Refuse a request at once above the limit; else pass it to a thread."""
         if self.is_accepting_thread() and self.front.refuse_early(connection):
             connection.close()
         else:
@@ -88,14 +90,14 @@
 
 @kernel.register("front", needs=("carrier", "catalogues", "membership", "metrics"))
 class Front:
-    """Reads requests, finds route and account, and answers.
+    """Reads and validates requests, forwards them and writes refusals.
 
     Attributes
     ----------
     draining : bool
-        Whether answers announce the end of their connections.
+        Whether each connection is closed after its next answer.
     refusing : bool
-        Whether new requests are refused: this router is about to end.
+        Whether new requests are refused because the router is about to stop.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
@@ -128,7 +130,7 @@
         self._server.front = self
 
     def start(self) -> None:
-        """Listen; raises OSError if the address is taken."""
+        """Start to listen; raises OSError if the address is in use."""
         self._server.open()
         self._catalogues.subscribe(self._apply_limits)
         threading.Thread(
@@ -136,12 +138,12 @@
         ).start()
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Shut the server down."""
         self._stopped.set()
         self._server.shut()
 
     def report(self) -> dict[str, object]:
-        """Return the state for the operator."""
+        """Return the server's state for the operator."""
         idle, _ = self._server.count_connections()
         return {
             "connections_idle": idle,
@@ -152,15 +154,15 @@
         }
 
     def count_in_progress(self) -> int:
-        """Return how many requests are in progress."""
+        """Return the number of requests in progress."""
         return len(self._in_progress)
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._server.stop_listening()
 
     def abort_requests(self) -> list[str]:
-        """End what is in progress and return the ids of the requests."""
+        """Abort the requests in progress and return their ids."""
         with self._lock:
             found = [order for order in self._in_progress.values() if order]
         for order in found:
@@ -168,12 +170,12 @@
         return [order.request for order in found]
 
     def serve(self, request: cheroot_server.HTTPRequest) -> None:
-        """Serve one request whose head has been read."""
+        """Serve a request whose head has been read."""
         key = id(request)
         self._in_progress[key] = None
         is_full = not self._server.can_add_keepalive_connection
         sink = callersinks.CallerSink(request, close_after=self.draining or is_full)
-        name = request.inheaders.get(names.REQUEST_ID.title().encode(), b"")
+        request_id = request.inheaders.get(names.REQUEST_ID.title().encode(), b"")
         order = None
         try:
             body = acceptance.read_body(request)
@@ -185,19 +187,19 @@
             self._server.watch.add(request.conn.socket, order.presence.leave)
             self._forward(order, sink)
         except errors.RequestError as error:
-            self._refuse(sink, name.decode("latin-1"), error, order)
+            self._refuse(sink, request_id.decode("latin-1"), error, order)
         except OSError:
-            events.log(events.Event.CALLER_LEFT, request=name.decode("latin-1"))
+            events.log(events.Event.CALLER_LEFT, request=request_id.decode("latin-1"))
             request.close_connection = True
         except Exception as error:
-            # Nobody knows how far the request has come: no promise is made.
+            # The request may have run: an unexpected error can occur at any stage.
             events.log(
-                events.Event.TASK_FAILED, request=name.decode(), error=repr(error)
+                events.Event.TASK_FAILED, request=request_id.decode(), error=repr(error)
             )
             internal = errors.OutcomeUnknown(
                 f"internal error: {type(error).__name__}", code="internal", status=500
             )
-            self._refuse(sink, name.decode("latin-1"), internal, order)
+            self._refuse(sink, request_id.decode("latin-1"), internal, order)
         finally:
             with self._lock:
                 del self._in_progress[key]
@@ -220,9 +222,10 @@
             ) from lost
 
     def refuse_early(self, connection: _Connection) -> bool:
-        """Refuse a request that is above the limit; returns whether it was.
+        """Refuse a request above the concurrency limit; returns whether it was refused.
 
-        False also if it has not come whole yet, or is none: it goes the usual way then.
+        Also returns False if the received data is not exactly one complete request; it
+        then takes the normal path.
         """
         if (
             self._overload.admits(self.count_in_progress())
@@ -235,20 +238,20 @@
             return False
         if found is None:
             return False
-        name = found.request.decode("latin-1")
+        request_id = found.request.decode("latin-1")
         error = self._make_router_full_error()
-        self._record_refusal(name, error)
+        self._record_refusal(request_id, error)
         try:
             quickrefusals.send_answer(
-                connection.socket, refusals.serialize_refusal(name, error)
+                connection.socket, refusals.serialize_refusal(request_id, error)
             )
         except OSError:
-            pass  # The caller has left, or does not read; its request has not run.
+            pass  # The caller has disconnected or does not read; nothing has run.
         return True
 
     def _make_router_full_error(self) -> errors.NotRun:
         return errors.NotRun(
-            "this router has no thread left for the request",
+            "the router has reached its limit of concurrent requests",
             code="router-full",
             status=503,
             retry_after=OVERLOAD_RETRY_AFTER_SECONDS * (0.5 + self._random.random()),
@@ -259,7 +262,7 @@
         current = self._catalogues.current()
         if current is None or self.refusing:
             raise errors.NotRun(
-                "this router starts or stops; use another one",
+                "the router is starting or stopping; use another router",
                 code="starting" if current is None else "stopping",
                 status=503,
                 retry_after=NOT_READY_RETRY_AFTER_SECONDS
@@ -273,43 +276,49 @@
         return current
 
     def _record_refusal(
-        self, name: str, error: errors.RequestError, order: orders.Order | None = None
+        self,
+        request_id: str,
+        error: errors.RequestError,
+        order: orders.Order | None = None,
     ) -> None:
-        """Count and log a refusal; without an order if it was not read whole."""
+        """Count and log a refusal; the order is None if the request was not parsed."""
         self._metrics.count_refusal(error.code)
-        known: dict[str, object] = {}
+        details: dict[str, object] = {}
         if order is not None:
             took = time.monotonic() - order.received_at
-            known = {"account": order.account or "", "waited": round(took, 3)}
+            details = {"account": order.account or "", "waited": round(took, 3)}
         events.log(
             events.Event.REQUEST_REFUSED,
-            request=name,
+            request=request_id,
             status=error.status,
             code=error.code,
             outcome=error.outcome.value,
             retry_after=error.retry_after,
             error=str(error),
-            **known,
+            **details,
         )
 
     def _refuse(
         self,
         sink: callersinks.CallerSink,
-        name: str,
+        request_id: str,
         error: errors.RequestError,
         order: orders.Order | None = None,
     ) -> None:
-        self._record_refusal(name, error, order)
+        self._record_refusal(request_id, error, order)
         if sink.is_begun:
             sink.abort()
             return
         try:
-            refusals.write_refusal(sink, name, error)
+            refusals.write_refusal(sink, request_id, error)
         except OSError:
-            sink.abort()  # The caller has left; there is nobody to tell.
+            sink.abort()  # The caller has disconnected.
 
     def _measure_lateness(self) -> None:
-        """Note how much too long this thread sleeps: what all others suffer."""
+        """Measure how late this thread wakes up, as a sample for all threads.
+
+        The samples adjust the concurrency limit and this router's busy state.
+        """
         before, counted_at = self._overload.limit, float("-inf")
         while not self._stopped.is_set():
             began = time.monotonic()
@@ -338,5 +347,5 @@
         self._server.max_request_header_size = limits.header_bytes
         self._server.max_request_body_size = limits.body_bytes
         idle = limits.idle_seconds * IDLE_TIMEOUT_FACTOR + IDLE_TIMEOUT_MARGIN_SECONDS
-        # Never shorter than before: callers may go by an earlier version still.
+        # The timeout is never lowered: callers may still use an earlier configuration.
         self._server.timeout = max(self._server.timeout, idle)
--- a/celeryspan/gateway/migrations.py
+++ b/celeryspan/gateway/migrations.py
@@ -1,7 +1,8 @@
 """The kernel service ``migrations``: stops runs and copies them to other engines.
 
-The home of a pool says which run moves and where to. The copy is made on a thread of
-its own; the thread that passes the stream on meets its end, and goes on at the target.
+The home router of a pool decides which run moves to which engine. A separate thread
+makes the copy. The thread that relays the stream reaches the end of the source's answer
+and resumes the run at the target.
 """
 
 from __future__ import annotations
@@ -20,18 +21,19 @@
     from celeryspan.services import delivery
 
 COPY_TIMEOUT_SECONDS = 1.0
-"""Longest wait for a copy: one of 50,000 tokens takes 0.04 s, twice that to another
-data centre, and waits behind others."""
+"""Timeout for a copy. A copy of 50,000 tokens takes 0.04 s, or twice as long to another
+data centre, and may wait for other copies."""
 
 
 class Migration:
-    """One run on its way from one engine to another.
+    """The migration of one run from one engine to another.
 
     Attributes
     ----------
     source, target : ServerEntry
+        The engine that runs the request, and the one that is to resume it.
     copy : Copy or None
-        Set once the engines have answered, if the run was stopped.
+        The result of the source engine; None if the run was not stopped.
     """
 
     def __init__(
@@ -43,19 +45,19 @@
         self._answered = threading.Event()
 
     def set_result(self, copy: engines.Copy | None) -> None:
-        """Note what the engines have answered."""
+        """Set the result and wake the waiting thread."""
         self.copy = copy
         self._answered.set()
 
     def wait_for_copy(self) -> engines.Copy | None:
-        """Wait for the answer."""
+        """Wait for the result and return it."""
         self._answered.wait(2 * COPY_TIMEOUT_SECONDS)
         return self.copy
 
 
 @kernel.register("migrations", needs=("budgets", "delivery", "places", "servers"))
 class Migrations:
-    """Carries out the moves that homes decide."""
+    """Executes the migrations that home routers request."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._budgets: budgets.RetryBudgets = box.find("budgets")
@@ -65,11 +67,11 @@
         self._client = engines.EngineClient()
 
     def start(self) -> None:
-        """Begin to take moves."""
+        """Subscribe to migration requests of home routers."""
         self._delivery.subscribe(messages.RunMove, self._handle_move)
 
     def stop(self) -> None:
-        """Close the connections."""
+        """Close the connections to engines."""
         self._client.close()
 
     def take_copy(self, place: places.Place) -> Migration | None:
@@ -81,7 +83,7 @@
         return migration
 
     def discard(self, place: places.Place) -> None:
-        """Free a copy that nobody goes on with: its caller has left."""
+        """Free a copy that will not be resumed because the attempt has ended."""
         migration, place.migration = place.migration, None
         if migration is None:
             return
@@ -113,7 +115,7 @@
             return None
         service, _, _ = shards.parse_pool(move.pool)
         if not self._budgets.try_take(service):
-            return None  # The target counts one more arrival for this request.
+            return None  # Counted as a retry: the target receives the request, too.
         place.migration = Migration(source, target)
         return place.migration
 
@@ -129,7 +131,7 @@
                 COPY_TIMEOUT_SECONDS,
             )
         except errors.OutcomeUnknown as unknown:
-            # If the run was stopped its stream ends, and is lost as any other.
+            # If the run was stopped, its stream ends and is handled as a lost answer.
             copy, error = None, str(unknown)
         migration.set_result(copy)
         events.log(
--- a/celeryspan/gateway/orders.py
+++ b/celeryspan/gateway/orders.py
@@ -1,4 +1,4 @@
-"""One accepted request on its way: what is asked, and where its answer goes."""
+"""An accepted request and the interface to which its answer is written."""
 
 from __future__ import annotations
 
@@ -12,35 +12,37 @@
 
 
 class Sink(Protocol):
-    """The caller's end of an answer."""
+    """Receives the answer to one request."""
 
     def write_head(
         self, status: int, reason: str, headers: list[tuple[str, str]]
     ) -> None:
-        """Begin the answer; with no length among the headers it goes in chunks."""
+        """Write the status line and headers; the body is chunked without a length."""
 
     def write(self, data: bytes) -> None:
-        """Write a piece of the body; raises OSError if the caller is gone."""
+        """Write a part of the body; raises OSError if the caller has disconnected."""
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """Mark the end of a complete answer."""
 
     def abort(self) -> None:
-        """End the answer so that nobody takes it for whole."""
+        """End the answer so that the caller sees that it is incomplete."""
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One request of a caller.
+    """One accepted request of a caller.
 
     Attributes
     ----------
     target : bytes
-        Path and query, as the caller wrote them.
+        Path and query as received.
     received_at : float
-        Monotonic time at which the request had been read, in seconds.
+        Monotonic time at which the request began to arrive, in seconds.
     deadline : float
-        Monotonic time at which it must have ended: the route's timeout or the
-        caller's, whichever is earlier.
+        Monotonic time at which the request must have ended, in seconds: the earlier of
+        the route's timeout and the caller's.
+    presence : Presence
+        Tells whether the caller is still connected.
     """
 
     incoming: requests.Incoming
@@ -56,7 +58,7 @@
 
     @property
     def request(self) -> ids.RequestId:
-        """The request's id."""
+        """The request id."""
         return self.incoming.request
 
     def remaining_seconds(self) -> float:
--- a/celeryspan/gateway/quickrefusals.py
+++ b/celeryspan/gateway/quickrefusals.py
@@ -1,12 +1,14 @@
-"""Refuses a whole request on the thread that accepts, before any work is spent on it.
+"""Refuses complete requests early, on the thread that accepts connections.
 
-Load answered: one account sends a router several times what its processor can pass on.
-A refusal by the usual way takes a thread, the parsing of all headers and a log line,
-0.56 ms of a core, a quarter of a plain call: with four refused for each one taken, half
-of the processor went into refusals. Here the bytes are looked at where they lie.
+This limits the cost of overload, when one account sends a router several times the load
+that its processor can forward. A refusal by a request thread, which parses all headers
+and writes a log line, takes 0.56 ms of a core, a quarter of a plain call. With four
+requests refused for each one accepted, half of the processor time went into refusals.
+Here the buffered bytes are inspected without full parsing.
 
-Only what is surely one whole request is refused so; everything else goes the usual way.
-The connection ends with the answer, so that no byte behind it is read as a request.
+Only data that is certainly exactly one complete request is refused this way; anything
+else takes the normal path. The connection is closed after the answer, so that no
+following bytes are read as another request.
 """
 
 from __future__ import annotations
@@ -16,7 +18,7 @@
 from typing import NamedTuple
 
 PEEK_BYTES = 65_536
-"""A request that is longer, or has not come whole yet, goes the usual way."""
+"""Requests that are longer or not complete yet take the normal path."""
 
 HEAD_END = b"\r\n\r\n"
 CONTENT_LENGTH = re.compile(
@@ -28,14 +30,14 @@
 
 
 class BufferedRequest(NamedTuple):
-    """A whole request as it lies in a connection's buffer.
+    """A complete request in the receive buffer of a connection.
 
     Attributes
     ----------
     size : int
-        Bytes of head and body.
+        Length of head and body, in bytes.
     request : bytes
-        The request's id; empty if it has none.
+        The request id; empty if the request has none.
     """
 
     size: int
@@ -43,14 +45,14 @@
 
 
 def parse_whole_request(data: bytes, id_header: bytes) -> BufferedRequest | None:
-    """Return the one whole request that these bytes are, or None.
+    """Return the request if the data is exactly one complete request, else None.
 
     Parameters
     ----------
     data : bytes
-        All that has come on a connection and was not read.
+        All unread data of a connection.
     id_header : bytes
-        Name of the header with the request's id, in lower case.
+        Name of the header with the request id, in lower case.
     """
     end = data.find(HEAD_END)
     if end < 0 or REQUEST_LINE.match(data) is None:
@@ -78,12 +80,12 @@
 
 
 def read_whole_request(sock: socket.socket, id_header: bytes) -> BufferedRequest | None:
-    """Read a whole request off a connection without waiting; None leaves it there.
+    """Read a complete request without blocking, or return None and leave the data.
 
     Raises
     ------
     OSError
-        If the connection has broken.
+        If the connection has failed.
     """
     try:
         data = sock.recv(PEEK_BYTES, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -96,7 +98,7 @@
 
 
 def send_answer(sock: socket.socket, answer: bytes) -> None:
-    """Send a short answer without waiting; raises OSError if it can't be taken."""
+    """Send a short answer without blocking; raises OSError if it does not fit."""
     sent = sock.send(answer, socket.MSG_DONTWAIT)
     if sent < len(answer):
-        raise ConnectionAbortedError("the caller does not read")
+        raise ConnectionAbortedError("send buffer full: the caller does not read")
--- a/celeryspan/gateway/refusals.py
+++ b/celeryspan/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""The answer to a request that gets none from a server."""
+"""HTTP answers for requests that the router refuses or that have failed."""
 
 from __future__ import annotations
 
@@ -22,22 +22,24 @@
 
 
 class Refused(errors.RequestError):
-    """The request is not allowed, or not understood; it was not sent anywhere."""
+    """The request is malformed or not allowed, and was not sent to any server."""
 
     outcome = states.Outcome.NOT_RUN
 
 
-def write_refusal(sink: orders.Sink, name: str, error: errors.RequestError) -> None:
-    """Write the answer to a request that gets none from a server."""
-    headers, body = _build_refusal(name, error)
+def write_refusal(
+    sink: orders.Sink, request_id: str, error: errors.RequestError
+) -> None:
+    """Write the answer for an error."""
+    headers, body = _build_refusal(request_id, error)
     sink.write_head(error.status, REASON_PHRASES.get(error.status, "Refused"), headers)
     sink.write(body)
     sink.finish()
 
 
-def serialize_refusal(name: str, error: errors.RequestError) -> bytes:
-    """Return the same answer as one that ends its connection."""
-    headers, body = _build_refusal(name, error)
+def serialize_refusal(request_id: str, error: errors.RequestError) -> bytes:
+    """Return the answer for an error as bytes; it closes the connection."""
+    headers, body = _build_refusal(request_id, error)
     lines = [f"HTTP/1.1 {error.status} {REASON_PHRASES.get(error.status, 'Refused')}"]
     lines += [f"{name}: {value}" for name, value in headers]
     lines.append("Connection: close")
@@ -45,9 +47,9 @@
 
 
 def _build_refusal(
-    name: str, error: errors.RequestError
+    request_id: str, error: errors.RequestError
 ) -> tuple[list[tuple[str, str]], bytes]:
-    """Return headers and body of the answer to a request that gets none."""
+    """Return headers and body of the answer for an error."""
     body = json.dumps(
         {
             "error": {
@@ -60,8 +62,8 @@
         }
     ).encode()
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-    if name:
-        headers.append((names.REQUEST_ID, name))
+    if request_id:
+        headers.append((names.REQUEST_ID, request_id))
     if error.retry_after is not None:
         headers.append((names.RETRY_AFTER, f"{error.retry_after:.3f}"))
     return headers, body
--- a/celeryspan/gateway/replies.py
+++ b/celeryspan/gateway/replies.py
@@ -1,4 +1,4 @@
-"""The answer of a backend server: its head, and its body as it comes."""
+"""Answers of backend servers: the head, and the body as a stream."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 READ_BYTES = 65_536
 
 BODY_BYTES_MAX = 1_048_576
-"""Answers of plain services up to this size are read whole before the first byte is
-passed on, so that one that breaks off can be repeated or told as a failure."""
+"""Answers of plain services up to this size are read completely before any of it is
+forwarded, so that an answer that breaks off can be retried or reported as an error."""
 
 EVENT_END = b"\n\n"
 EVENT_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
@@ -27,7 +27,7 @@
     ----------
     status : int
     headers : list of (name, value)
-        Those that the caller gets.
+        Headers to forward to the caller.
     """
 
     def __init__(
@@ -45,26 +45,26 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the status says so."""
+        """Whether the status code is 2xx."""
         return 200 <= self.status < 300
 
     @property
     def is_not_run(self) -> bool:
-        """Whether the server says that it did not run the request."""
+        """Whether the server states that it did not run the request."""
         return self.status == 421 or self._answer.getheader(names.NOT_RUN) is not None
 
     @property
     def is_signed(self) -> bool:
-        """Whether the server's signature is there."""
+        """Whether the answer has the server's signature header."""
         return bool(self._answer.getheader(names.SIGNATURE))
 
     def read(self) -> Iterator[bytes]:
-        """Yield the body as it comes; ends only if it is whole.
+        """Yield the body as it arrives; returns only after the complete body.
 
         Raises
         ------
         backend.AnswerLost
-            If the connection breaks, or the time is over.
+            If the connection fails or the deadline passes.
         """
         try:
             while True:
@@ -76,18 +76,18 @@
         except channels.CONNECTION_ERRORS as error:
             raise self.make_answer_lost(error) from error
         if self._answer.length:
-            raise self.make_answer_lost("the body is shorter than announced")
+            raise self.make_answer_lost("the body is shorter than its Content-Length")
         self._channel.update_keep_alive(self._answer)
 
     def read_whole(self) -> bytes:
-        """Return the body; raises backend.AnswerLost."""
+        """Return the complete body; raises backend.AnswerLost."""
         return b"".join(self.read())
 
     def read_events(self, last_event: str) -> Iterator[EventBlock]:
-        """Yield whole events last_number an id, as they come.
+        """Yield complete events with an id above ``last_event`` as they arrive.
 
-        Part of an event is held back until its end: a server may stop in its middle,
-        and the next one sends it from its beginning.
+        A partial event is buffered until its end: if a server fails in the middle of an
+        event, the next server sends the event from its start.
         """
         last_number = _parse_number(last_event)
         buffer = b""
@@ -107,21 +107,21 @@
             yield EventBlock(buffer, "")
 
     def make_answer_lost(self, reason: object) -> backend.AnswerLost:
-        """Return the error of an answer that is not whole."""
+        """Return the error for an incomplete answer."""
         return backend.AnswerLost(
-            f"no whole answer: {reason!r}",
+            f"incomplete answer: {reason!r}",
             step="read answer",
             peer=self._channel.server,
         )
 
 
 class EventBlock:
-    """One or more whole events of a stream.
+    """One or more complete events of a stream.
 
     Attributes
     ----------
     last_id : str
-        Id of the last of them, or the empty text.
+        The last event id in the block; empty if there is none.
     """
 
     __slots__ = ("data", "last_id")
@@ -132,7 +132,7 @@
 
 
 def _drop_delivered(block: bytes, last_number: int | None) -> EventBlock | None:
-    """Return a block without events that were passed on before, or None."""
+    """Return a block without events that were delivered before; None if empty."""
     if last_number is not None:
         new_events = [
             event
--- a/celeryspan/gateway/requestprogress.py
+++ b/celeryspan/gateway/requestprogress.py
@@ -1,4 +1,4 @@
-"""What has become of one request so far."""
+"""The progress of one request through its attempts."""
 
 from __future__ import annotations
 
@@ -12,28 +12,37 @@
 
 
 class Progress:
-    """What has become of one request so far.
+    """The progress of one request through its attempts.
+
+    Times are monotonic, in seconds.
 
     Attributes
     ----------
-    sends, connects : int
-        Servers that the request was sent to, and those that did not accept.
+    sends, connect_failures : int
+        Number of servers that the request was sent to, and of servers that accepted no
+        connection.
     may_have_run : bool
-        Whether one of them may have run it.
+        Whether a server may have run the request.
     is_answering : bool
-        Whether the caller has got the head of an answer.
+        Whether the head of an answer was sent to the caller.
     last_event : str
-        Id of the last event that was passed on.
-    failure : Reply and body, or None
-        A server's own failure, to be passed on if no repeat does better.
-    first_at, gap : float
-        When the first event was passed on, and the longest pause since, in seconds.
+        Id of the last event that was sent to the caller.
+    excluded : tuple of ServerId
+        Servers that were tried and are not to be selected again.
+    server_failure : Reply and body, or None
+        A server's error answer, returned to the caller if no retry succeeds.
+    timed_out : bool
+        Whether the deadline passed while waiting for the head of an answer.
+    first_event_at, last_event_at : float
+        When the first and the last event were sent to the caller.
+    longest_gap : float
+        Longest pause between two events, in seconds.
     last_sent_at, answer_begun_at : float
-        When it was last sent, and when the first part of that answer came.
+        When the request was last sent, and when the first event of that answer arrived.
     strikes : int
-        Crashes in a row under this request that were known when it was last sent.
+        Consecutive crashes attributed to this request, as known when it was last sent.
     fingerprint : Fingerprint or None
-        Set once it was needed.
+        Computed on first use.
     """
 
     def __init__(self) -> None:
@@ -54,13 +63,13 @@
         self.fingerprint: fingerprints.Fingerprint | None = None
 
     def record_send(self, now: float) -> None:
-        """Note that the request is sent to one more server."""
+        """Record that the request is sent to another server."""
         self.sends += 1
         self.last_sent_at = now
         self.answer_begun_at = None
 
     def record_event(self, now: float) -> None:
-        """Note that an event of a stream is passed on."""
+        """Record that a stream event is sent to the caller."""
         if self.answer_begun_at is None:
             self.answer_begun_at = now
         if self.first_event_at is None:
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -1,7 +1,7 @@
-"""The kernel service ``sender``: one request at one backend server, and its answer.
+"""The kernel service ``sender``: sends requests to backend servers and relays answers.
 
-Sends a request on an open channel, checks the head of the answer, passes streams on.
-A run that was stopped to be moved goes on here at the engine that has its copy.
+It sends a request on an open channel, checks the head of the answer and relays streams.
+It also resumes a run that was stopped for a migration, at the engine with the copy.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     ),
 )
 class Sender:
-    """Carries a request to one server and its answer back."""
+    """Sends requests to a single server and relays streamed answers."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._channels: channels.Channels = box.find("channels")
@@ -48,10 +48,10 @@
         self._servers: serverlists.ServersService = box.find("servers")
 
     def start(self) -> None:
-        """Nothing to begin."""
+        """Do nothing: the service has no background work."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: the service holds no resources."""
 
     def send(
         self,
@@ -68,18 +68,18 @@
         Parameters
         ----------
         until : float
-            Until when the head must have come, on the monotonic clock.
+            Monotonic deadline for the head of the answer, in seconds.
         moved_from : str
-            Names the copy of a run that the server is to go on with.
+            Name of the copied run that the server is to resume; empty for a new run.
         source : ServerId, optional
-            Another server, from which it is to copy kept parts of the prompt.
+            Another server from which cached parts of the prompt are to be copied.
 
         Raises
         ------
         backend.Declined
-            If the server says that it did not run it.
+            If the server states that it did not run the request.
         backend.AnswerLost
-            If there is no answer that may be passed on.
+            If there is no valid answer.
         """
         left = order.remaining_seconds()
         cache_source = self._servers.usable().get(source) if source else None
@@ -122,9 +122,9 @@
                 f"status {reply.status}", leaving=is_gone, step="send", peer=server
             )
         if reply.is_success and not reply.is_signed:
-            # Without the signature nobody can tell it from bytes that went astray.
+            # An unsigned success may be unrelated data from another process.
             raise backend.AnswerLost(
-                "a success without signature", step="read answer", peer=server
+                "success without a server signature", step="read answer", peer=server
             )
 
     def relay_stream(
@@ -135,7 +135,7 @@
         reply: replies.Reply,
         sink: orders.Sink,
     ) -> None:
-        """Pass a stream on, event by event; raises backend.AnswerLost."""
+        """Relay a stream event by event; raises backend.AnswerLost."""
         for event in reply.read_events(progress.last_event):
             progress.record_event(time.monotonic())
             if not place.is_begun:
@@ -161,10 +161,10 @@
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
-        """Resume a run that was stopped to be moved; returns whether it has ended.
+        """Resume a run that was stopped for a migration; returns whether it completed.
 
-        If the engine that has the copy does not take it, the one that was stopped
-        resumes it: it keeps what it has read.
+        If the target engine does not resume the copy, the source engine is asked to
+        resume the run: it keeps the run's state.
         """
         migration = self._migrations.take_copy(place)
         if migration is None or migration.copy is None:
@@ -197,14 +197,14 @@
         progress: requestprogress.Progress,
         moved_from: str,
     ) -> tuple[replies.Reply, channels.Channel]:
-        """Ask one engine to go on with a run; returns the head of its answer.
+        """Ask an engine to resume a run; returns its answer's head and the channel.
 
         Raises
         ------
         errors.NotRun
-            If the engine can't be reached, or the request is in quarantine by now.
+            If the engine is unreachable, or the request was quarantined meanwhile.
         backend.Declined, backend.AnswerLost
-            If it does not go on.
+            If the engine does not resume the run.
         """
         self._quarantine.check(order, progress)
         channel = self._channels.open(entry, at_most_once=True)
@@ -232,7 +232,7 @@
         channel: channels.Channel,
         sink: orders.Sink,
     ) -> bool:
-        """Pass on the rest of a stream; returns whether it has ended."""
+        """Relay the rest of a stream; returns whether it completed."""
         is_whole = False
         try:
             self.relay_stream(order, place, progress, reply, sink)
@@ -254,7 +254,7 @@
     server: ids.ServerId,
     error: str,
 ) -> None:
-    """Log that a stream goes on at a server, or why it does not."""
+    """Log that a server resumes a stream, or the error that prevents it."""
     events.log(
         events.Event.STREAM_RESUMED,
         request=order.request,
@@ -272,7 +272,7 @@
     moved_from: str = "",
     fetched_from: str = "",
 ) -> bytes:
-    """Return the head of a request as one server gets it."""
+    """Return the request line and headers for one server."""
     headers = requests.write_headers(
         order.incoming,
         server=server,
@@ -290,7 +290,7 @@
 
 
 def write_reply(sink: orders.Sink, reply: replies.Reply, body: bytes) -> None:
-    """Write an answer whose body is there."""
+    """Write an answer whose body was read completely."""
     headers = [
         (name, value)
         for name, value in reply.headers
