--- a/tests/gateway/processes.py
+++ b/tests/gateway/processes.py
@@ -1,4 +1,4 @@
-"""A router of the platform as a process of its own, with little to live on."""
+"""Runs a router of the platform as a separate process with limited resources."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class ProcessRouter:
-    """A router that is running as a process.
+    """A router that runs as a separate process.
 
     Attributes
     ----------
     caller_address, ready_address, directory_address : str
     log : Path
-        What it writes to standard output.
+        File with the standard output of the process.
     """
 
     def __init__(
@@ -73,12 +73,12 @@
         )
 
     def get(self, address: str, path: str) -> int:
-        """Ask one of the addresses that the platform asks; returns the status.
+        """Send a GET request to one of the router's addresses; returns the status.
 
         Raises
         ------
         OSError
-            If it does not answer within :data:`support.WAIT_SECONDS`.
+            If there is no answer within :data:`support.WAIT_SECONDS`.
         """
         connection = connect(address)
         with contextlib.closing(connection):
@@ -86,7 +86,13 @@
             return connection.getresponse().status
 
     def wait_ready(self) -> None:
-        """Wait until it is ready and listens to callers; fails if it never does."""
+        """Wait until the router is ready and accepts callers.
+
+        Raises
+        ------
+        AssertionError
+            If it is not ready within twice :data:`support.WAIT_SECONDS`.
+        """
         until = time.monotonic() + 2 * support.WAIT_SECONDS
         while time.monotonic() < until:
             with contextlib.suppress(OSError):
@@ -94,16 +100,16 @@
                 if self.get(self.ready_address, "/v1/readyz") == 200:
                     return
             time.sleep(POLL_SECONDS)
-        raise AssertionError(f"never ready: {self.log.read_text()[-2000:]}")
+        raise AssertionError(f"router is not ready: {self.log.read_text()[-2000:]}")
 
     def stop(self) -> None:
-        """End the process."""
+        """Kill the process."""
         self._process.kill()
         self._process.wait()
 
 
 def connect(address: str) -> http.client.HTTPConnection:
-    """Return a connection that is opened with its first request."""
+    """Return a connection that opens on its first request."""
     host, _, port = address.partition(":")
     return http.client.HTTPConnection(host, int(port), timeout=support.WAIT_SECONDS)
 
@@ -116,7 +122,7 @@
     threads: int = 256,
     name: str = "edge-1",
 ) -> Iterator[ProcessRouter]:
-    """Yield a router that is ready; it ends with the block."""
+    """Start a router, yield it once it is ready, and stop it on exit."""
     router = ProcessRouter(folder, store, descriptors, threads, name)
     try:
         router.wait_ready()
--- a/tests/gateway/test_carrier.py
+++ b/tests/gateway/test_carrier.py
@@ -1,4 +1,4 @@
-"""What callers get when backend servers fail, and what may run twice."""
+"""Answers to callers when backend servers fail, and which requests are retried."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def count_runs(*servers) -> int:
-    """Return how often requests ran on some servers."""
+    """Return the total number of runs on the given servers."""
     return sum(len(server.ran) for server in servers)
 
 
-def test_request_that_a_full_server_rejects_is_promised_not_to_have_run(place) -> None:
+def test_request_rejected_by_a_full_server_is_reported_as_not_run(place) -> None:
     server = place.add_server("gate-1")
     server.script.append("full")
     router = place.start_router()
@@ -28,13 +28,11 @@
 
 
 @pytest.mark.parametrize("failure", ["reset", "cut", "unsigned"])
-def test_request_whose_answer_is_lost_runs_once_and_is_promised_nothing(
-    place, failure: str
-) -> None:
-    """A booking runs and its answer is lost on the way.
+def test_request_whose_answer_is_lost_is_not_retried(place, failure: str) -> None:
+    """A booking runs and its answer is lost.
 
-    A repeat would book twice; a promise that it had not run would make the caller
-    book again.
+    A retry would book twice. An answer that states that it has not run would make the
+    caller book again.
     """
     servers = [place.add_server("gate-1"), place.add_server("gate-2")]
     for server in servers:
@@ -52,14 +50,14 @@
     servers[0].script.append(failure)
     servers[1].script.append(failure)
     answer = router.call("/calls/1", method="GET", body=None)
-    # Each server fails its first request: the second attempt fails as well.
+    # Each server fails its first request, so that the second attempt fails, too.
     assert answer.status in (500, 502, 503)
     assert len(servers[0].seen) == len(servers[1].seen) == 1
     answer = router.call("/calls/1", "r2", method="GET", body=None)
     assert (answer.status, answer.text) == (200, b"served")
 
 
-def test_failure_of_a_server_is_passed_on_as_it_is(place) -> None:
+def test_server_error_is_relayed_unchanged(place) -> None:
     server = place.add_server("gate-1")
     server.script.append("error")
     router = place.start_router()
@@ -68,10 +66,10 @@
     assert answer.getheader("Celeryspan-Server-Stamp")
 
 
-def test_second_answer_reaches_nobody(place) -> None:
-    """A server answers twice on a connection that is then used again.
+def test_duplicate_answer_is_discarded(place) -> None:
+    """A server answers twice on a connection that is then reused.
 
-    The next caller would get the answer to somebody else's booking.
+    The next caller would receive the answer to another caller's booking.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
@@ -91,12 +89,12 @@
     assert (answer.status, answer.text) == (200, b"served")
 
 
-def test_early_answer_to_a_long_body_is_passed_on(place) -> None:
-    """A server rejects a long request before it has read it, then reads on.
+def test_early_answer_to_a_long_body_is_relayed(place) -> None:
+    """A server rejects a long request before it has read the body, then reads on.
 
-    A router that first writes the whole body, while the server waits to write, stops
-    for good; one that uses the connection again sends a request where the rest of the
-    body is due.
+    A router that writes the whole body before it reads would deadlock with a server
+    that waits to write. On a reused connection the server would read the next request
+    as the rest of the body.
     """
     server = place.add_server("gate-1")
     server.script.append("early")
@@ -107,10 +105,10 @@
     assert router.call("/bookings/2", "r2").status == 200
 
 
-def test_server_at_a_used_address_is_not_mistaken(place) -> None:
-    """A server is gone and another service's has its address.
+def test_server_at_a_reused_address_gets_no_further_requests(place) -> None:
+    """A server has left, and a server of another service uses its address.
 
-    Its 421 says that nothing ran; the router must not send there again.
+    The status 421 states that nothing ran; the router must not send there again.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
@@ -123,7 +121,7 @@
     assert len(server.seen) == seen
 
 
-def test_server_that_accepts_no_connection_is_passed_over(place) -> None:
+def test_server_that_accepts_no_connection_is_skipped(place) -> None:
     dead = place.add_server("gate-1")
     router = place.start_router()
     dead.stop()
@@ -134,10 +132,10 @@
     assert len(alive.ran) == 4
 
 
-def test_stream_goes_on_at_another_server_without_a_gap(place) -> None:
-    """A server breaks off in the middle of an event of a stream that may be resumed.
+def test_stream_resumes_at_another_server_without_a_gap(place) -> None:
+    """A server fails in the middle of an event of a resumable stream.
 
-    The caller must get each event once and whole, as if nothing had happened.
+    The caller must receive each event complete and exactly once.
     """
     first = place.add_server("planner-1", "planner")
     second = place.add_server("planner-2", "planner")
@@ -151,7 +149,7 @@
     assert answer.text.count(b"data: piece 3\n\n") == 1
 
 
-def test_stream_that_may_not_be_resumed_is_cut_and_not_ended(place) -> None:
+def test_non_resumable_stream_ends_as_incomplete(place) -> None:
     servers = [
         place.add_server("planner-1", "planner"),
         place.add_server("planner-2", "planner"),
@@ -164,7 +162,7 @@
     assert count_runs(*servers) == 1
 
 
-def test_whole_stream_is_passed_on(place) -> None:
+def test_complete_stream_is_relayed(place) -> None:
     place.add_server("planner-1", "planner")
     router = place.start_router()
     parts = {
@@ -176,10 +174,10 @@
     assert answer.getheader("Celeryspan-Server-Stamp")
 
 
-def test_run_ends_when_its_caller_leaves(place) -> None:
+def test_run_is_cancelled_when_its_caller_disconnects(place) -> None:
     """A caller closes its connection while its request runs.
 
-    The server would work for nobody until the request's timeout.
+    Without a cancellation the server would run the request until its timeout.
     """
     server = place.add_server("gate-1")
     server.script.append("silent")
@@ -194,23 +192,23 @@
     support.wait_for(lambda: places.report()["held"] == 0)
 
 
-def test_request_of_a_caller_that_has_just_left_is_not_sent(place) -> None:
-    """A router has far more to do than its processor can, and a caller gives up.
+def test_request_of_a_caller_that_has_just_disconnected_is_not_sent(place) -> None:
+    """A caller disconnects from a router whose processor is overloaded.
 
-    The thread that notices closed connections had not run for most of a second; the
-    request got its place meanwhile and was sent for nobody, after its caller's time.
+    The thread that detects closed connections had not run for most of a second.
+    Meanwhile the request got a place and was sent after its caller's deadline.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
     front, carrier = router.box.find("front"), router.box.find("carrier")
-    front._server.watch.add = lambda *_: None  # It does not come to look.
-    connects, left = carrier._open_channel, threading.Event()
+    front._server.watch.add = lambda *_: None  # Closed connections are not detected.
+    original_open, left = carrier._open_channel, threading.Event()
 
-    def connect_late(order, found, progress):
+    def open_late(order, found, progress):
         left.wait(support.WAIT_SECONDS)
-        return connects(order, found, progress)
+        return original_open(order, found, progress)
 
-    carrier._open_channel = connect_late
+    carrier._open_channel = open_late
     caller = router.connect()
     headers = {"Host": support.HOST, "Celeryspan-Credential": support.KEY}
     caller.request("POST", "/bookings/1", body=b"", headers=headers)
@@ -223,19 +221,19 @@
     assert server.seen == []
 
 
-def test_request_whose_time_ends_while_a_server_is_reached_is_not_sent(place) -> None:
-    """A server takes so long to accept a connection that the caller's time is over.
+def test_request_whose_deadline_passes_while_connecting_is_not_sent(place) -> None:
+    """The deadline passes while a server accepts a connection.
 
-    The request was sent all the same, and its caller was told that it may have run.
+    The request was sent nevertheless, and its caller was told that it may have run.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
     channels = router.box.find("channels")
-    opens = channels.open
+    original_open = channels.open
 
     def open_late(entry, *, at_most_once):
         time.sleep(0.3)
-        return opens(entry, at_most_once=at_most_once)
+        return original_open(entry, at_most_once=at_most_once)
 
     channels.open = open_late
     answer = router.call("/bookings/1", headers={"Celeryspan-Deadline-Ms": "200"})
@@ -244,7 +242,7 @@
     assert server.seen == []
 
 
-def test_caller_gets_an_answer_at_the_end_of_its_time(place) -> None:
+def test_caller_gets_an_answer_at_its_deadline(place) -> None:
     server = place.add_server("gate-1")
     server.script.append("silent")
     router = place.start_router()
@@ -253,35 +251,35 @@
     assert len(server.ran) == 1
 
 
-def test_stream_of_a_server_that_started_again_goes_on_elsewhere_at_once(place) -> None:
-    """An engine goes dark in a stream, and starts again under its id.
+def test_stream_of_a_restarted_server_resumes_elsewhere_at_once(place) -> None:
+    """An engine loses its power during a stream and restarts under the same id.
 
-    Its old connections stay silent: without the word of its entry the caller would
-    wait for its deadline, though another engine could go on.
+    Its old connections stay silent. Unless the router reacts to the new entry, the
+    caller waits until its deadline although another engine could resume the stream.
     """
     first = place.add_server("gpu-1", "planner", born=1_000)
     router = place.start_router()
     first.script.append("silent")
     answers = []
     headers = {"Celeryspan-Deadline-Ms": "60000", "Celeryspan-Token-Count": "90,6"}
-    asking = threading.Thread(
+    request_thread = threading.Thread(
         target=lambda: answers.append(router.call("/drafts/1", headers=headers))
     )
-    asking.start()
+    request_thread.start()
     support.wait_for(lambda: first.seen)
     second = place.add_server("gpu-2", "planner", born=1_500)
     support.wait_for(lambda: "gpu-2" in router.box.find("servers").usable())
     place.enter(first, "planner", born=2_000)
-    asking.join(timeout=support.WAIT_SECONDS)
+    request_thread.join(timeout=support.WAIT_SECONDS)
     assert answers and answers[0].status == 200
     assert second.ran == ["r1"]
 
 
-def test_stream_goes_on_elsewhere_though_the_entry_had_lapsed_in_between(place) -> None:
-    """A dark engine's entry lapses, and comes back when the engine has started again.
+def test_stream_resumes_elsewhere_after_the_entry_expired_and_returned(place) -> None:
+    """The entry of a failed engine expires and returns when the engine has restarted.
 
-    A router that compared the two lists alone would take it for a server that is new,
-    and leave the stream on the dead connection until its deadline.
+    A router that only compared consecutive lists would consider the engine a new server
+    and keep the stream on the dead connection until its deadline.
     """
     first = place.add_server("gpu-1", "planner", born=1_000)
     router = place.start_router()
@@ -289,22 +287,22 @@
     first.script.append("silent")
     answers = []
     headers = {"Celeryspan-Deadline-Ms": "60000", "Celeryspan-Token-Count": "90,6"}
-    asking = threading.Thread(
+    request_thread = threading.Thread(
         target=lambda: answers.append(router.call("/drafts/1", headers=headers))
     )
-    asking.start()
+    request_thread.start()
     support.wait_for(lambda: first.seen)
     place.store.remove("servers", "gpu-1")
     support.wait_for(lambda: "gpu-1" not in usable())
     second = place.add_server("gpu-2", "planner", born=1_500)
     place.enter(first, "planner", born=2_000)
-    asking.join(timeout=support.WAIT_SECONDS)
+    request_thread.join(timeout=support.WAIT_SECONDS)
     assert answers and answers[0].status == 200
     assert first.ran + second.ran == ["r1", "r1"]
 
 
-def test_entry_written_over_by_another_writer_names_no_server(place) -> None:
-    """Another writer replaces the entry of a server; its address serves no more."""
+def test_server_with_an_invalid_entry_gets_no_requests(place) -> None:
+    """A server whose entry was overwritten with invalid data gets no requests."""
     server = place.add_server("gate-1")
     other = place.add_server("gate-2")
     router = place.start_router()
@@ -316,37 +314,41 @@
     assert (len(server.ran), len(other.ran)) == (0, 4)
 
 
-def test_caller_that_leaves_late_cuts_nobody_elses_request(place) -> None:
-    """A caller reads its answer and closes; another request has its server connection.
+def test_late_disconnect_does_not_abort_another_request(place) -> None:
+    """A caller disconnects after its answer, while another request uses the connection.
 
-    The closing was still told to the first request's step, which ended the connection
-    to the server: the second caller got 502, and nobody knew whether its booking had
-    run. One in some 2,000 calls ended so where callers closed after each answer.
+    The abort callback of the first request used to close the server connection that the
+    second request was using. The second caller got 502 with an unknown outcome. This
+    happened to one in some 2,000 calls when callers closed after each answer.
     """
     server = place.add_server("planner-1", "planner")
     router = place.start_router()
     watch = router.box.find("front")._server.watch
-    closings = []
+    abort_callbacks = []
     add = watch.add
-    watch.add = lambda sock, callback: (closings.append(callback), add(sock, callback))
-    # It closes only in ``closings``: a closing before the answer's end is no late one.
+    watch.add = lambda sock, callback: (
+        abort_callbacks.append(callback),
+        add(sock, callback),
+    )
+    # The caller's connection stays open: a real disconnect might be detected before the
+    # end of the answer. It is simulated by calling the recorded callback.
     first = router.connect()
     assert support.ask(first, "/notes/1", "r1").status == 200
-    # The connection is kept after the answer was read, and the engine is asked what it
-    # keeps on one of its own.
+    # The connection returns to the pool after the answer was read. The router lists the
+    # engine's cached prompt parts on a separate connection.
     support.wait_for(lambda: router.box.find("channels")._idle_by_age and server.lists)
     connections = server.connections
     server.event_seconds = 0.2
-    kept = router.connect()
+    connection = router.connect()
     second: list[bytes] = []
     thread = threading.Thread(
-        target=lambda: second.append(support.ask(kept, "/notes/1", "r2").text)
+        target=lambda: second.append(support.ask(connection, "/notes/1", "r2").text)
     )
     thread.start()
     support.wait_for(lambda: "r2" in server.ran)
-    closings[0]()
+    abort_callbacks[0]()
     thread.join()
     assert server.connections == connections, (
-        "the second request was to have the connection"
+        "the second request must reuse the connection"
     )
     assert second[0].endswith(b"piece 6\n\n")
--- a/tests/gateway/test_channels.py
+++ b/tests/gateway/test_channels.py
@@ -1,4 +1,4 @@
-"""Idle connections to backend servers, within what the process may have open."""
+"""Limits on idle connections to backend servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from celeryspan.gateway import channels, settings
 
 DESCRIPTORS_MAX = 100
-"""Room for 15 idle connections to backend servers."""
+"""File descriptor limit that leaves 15 idle connections to backend servers."""
 
 SERVERS = 40
 
@@ -40,7 +40,7 @@
 
 
 def make_answered_channel(stack: contextlib.ExitStack, server: str) -> channels.Channel:
-    """Return a connection whose last answer has been read."""
+    """Return a connection that may be returned to the pool."""
     near, far = socket.socketpair()
     stack.enter_context(far)
     entry = catalog.ServerEntry(
@@ -58,11 +58,11 @@
     return channel
 
 
-def test_idle_connections_to_many_servers_stay_within_the_budget(stack) -> None:
-    """A router sends to hundreds of servers and keeps some connections to each.
+def test_idle_connections_to_many_servers_stay_within_the_limit(stack) -> None:
+    """A router keeps idle connections to each of hundreds of servers.
 
-    Their number had no bound over all servers: with enough of them the process has no
-    descriptor left, and neither callers nor the directory are answered.
+    Without a limit on their total number the process runs out of file descriptors, and
+    neither callers nor requests to the directory are answered.
     """
     pool = make_channels()
     used = [make_answered_channel(stack, f"gate-{number}") for number in range(SERVERS)]
@@ -70,10 +70,10 @@
         pool.release(channel)
     still_open = [channel for channel in used if channel.is_reusable()]
     assert len(still_open) == 15
-    assert still_open == used[-15:], "the longest idle are to go first"
+    assert still_open == used[-15:], "the longest idle must be closed first"
 
 
-def test_connection_taken_again_counts_as_used(stack) -> None:
+def test_reused_connection_counts_as_recently_used(stack) -> None:
     pool = make_channels()
     first = make_answered_channel(stack, "gate-0")
     pool.release(first)
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -1,9 +1,9 @@
 """Callers that open a connection for each request and leave it open.
 
-What users saw: while others were served, an account got a fraction of its share, then
-nothing to the end of the day. Its callers all used one router. They opened a connection
-for each request and kept it; connections rose by some hundreds a second and never fell,
-until the process had as many descriptors as it may have.
+All callers of an account used one router and kept each connection open. The number of
+connections rose by some hundreds per second until the process reached its limit of file
+descriptors. The account then got a fraction of its share, and nothing for the rest of
+the day, while other accounts were served.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from tests.gateway import processes, support
 
 DESCRIPTORS_MAX = 300
-"""What the process may have; a router at rest uses 17."""
+"""File descriptor limit of the process; an idle router uses 17."""
 
 RESOLVE_PATH = "/v1/resolve?name=desk.example&region=r&zone=hala-a"
 
 CALLERS = 600
-"""Connections left open one after the other, twice what the process may have."""
+"""Connections opened in sequence and left open, twice the descriptor limit."""
 
 
 def call_and_keep_open(
     stack: contextlib.ExitStack, router: processes.ProcessRouter, number: int
 ) -> int:
-    """Send one request on a connection that stays open; returns the status."""
+    """Send a request on a new connection and keep it open; returns the status."""
     connection = stack.enter_context(
         contextlib.closing(processes.connect(router.caller_address))
     )
@@ -36,10 +36,10 @@
 def test_callers_that_keep_their_connections_are_all_served(
     place: support.Place, tmp_path: pathlib.Path
 ) -> None:
-    """The account's callers use one router, each request on a connection of its own.
+    """All callers use one router and a new connection for each request.
 
-    Every one of them is to be answered: the router must give up connections that wait
-    for nothing before it has no descriptor left.
+    Every request must be answered: the router must close idle connections before it
+    runs out of file descriptors.
     """
     place.add_server("gate-1")
     store = str(place.store.address)
@@ -53,12 +53,12 @@
     assert statuses == [200] * CALLERS
 
 
-def test_directory_and_readiness_answer_while_connections_pile_up(
+def test_directory_and_readiness_answer_while_connections_accumulate(
     place: support.Place, tmp_path: pathlib.Path
 ) -> None:
-    """The directory beside the front could not accept either.
+    """The process runs out of descriptors, so that its directory cannot accept either.
 
-    Callers then keep the addresses that they have, and stay with the drowned router.
+    Callers then keep their list of addresses and stay with the overloaded router.
     """
     place.add_server("gate-1")
     store = str(place.store.address)
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -1,4 +1,4 @@
-"""Requests as callers send them, and what reaches the backend server."""
+"""Requests of callers, and what reaches the backend server."""
 
 from __future__ import annotations
 
@@ -30,19 +30,20 @@
     assert 0 < int(seen.headers["celeryspan-deadline-ms"]) <= 2000
 
 
-def test_time_in_line_for_a_thread_is_the_callers(place) -> None:
-    """A request waits for a thread of a busy router until its caller's time is over.
+def test_time_waiting_for_a_thread_counts_towards_the_deadline(place) -> None:
+    """A request waits for a thread of a busy router until its deadline has passed.
 
-    Its time began when the thread read it: it was sent on after its caller had left.
+    The timeout used to start when the thread read the request, which was then forwarded
+    after its caller had left.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
     front = router.box.find("front")
-    serves = front.serve
+    original_serve = front.serve
 
     def serve_late(request):
         time.sleep(0.3)
-        serves(request)
+        original_serve(request)
 
     front.serve = serve_late
     answer = router.call("/bookings/7", headers={"Celeryspan-Deadline-Ms": "200"})
@@ -50,11 +51,11 @@
     assert server.seen == []
 
 
-def test_headers_that_the_system_sets_are_not_the_callers(place) -> None:
-    """A caller names another account, a place in a server's memory and a server.
+def test_internal_headers_of_callers_are_not_forwarded(place) -> None:
+    """A caller sets the internal headers for account, server and cached memory.
 
-    Passed on, it would be served on somebody else's account or go on from the memory
-    of another caller's request.
+    If these were forwarded, the request would be charged to another account or continue
+    from the memory of another caller's request.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
@@ -99,10 +100,10 @@
     assert "celeryspan-tenant" not in server.seen[0].headers
 
 
-def test_router_without_configuration_promises_that_nothing_ran() -> None:
+def test_router_without_configuration_refuses_with_a_retry_time() -> None:
     """A router starts while the store has no configuration yet.
 
-    A caller that got 404 or 401 from it would not come back, though its route exists.
+    A caller that received 404 or 401 would not retry, although its route exists.
     """
     with support.open_place(configured=False) as place:
         router = place.start_router()
@@ -114,7 +115,7 @@
         assert ready == 503
 
 
-def test_body_in_chunks_arrives_whole(place) -> None:
+def test_chunked_body_arrives_complete(place) -> None:
     server = place.add_server("gate-1")
     router = place.start_router()
     answer = router.call("/bookings/1", body=iter([b"one ", b"two"]))
@@ -122,10 +123,10 @@
     assert server.seen[0].body == b"one two"
 
 
-def test_body_that_breaks_off_reaches_no_server(place) -> None:
-    """A caller announces ten bytes, sends three and leaves.
+def test_incomplete_body_reaches_no_server(place) -> None:
+    """A caller announces ten bytes, sends three and disconnects.
 
-    A server that got the three would carry out something nobody has asked for.
+    A server that received the partial body would execute a request nobody has made.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
@@ -145,11 +146,11 @@
         "Content-Length: +5\r\n",
     ],
 )
-def test_request_with_two_ends_is_refused(place, framing: str) -> None:
-    """A caller hides a second request behind a length that readers disagree about.
+def test_request_with_ambiguous_length_is_refused(place, framing: str) -> None:
+    """Guards against request smuggling through an ambiguous length.
 
-    Passed on, the second one would run under the key of whoever uses the connection
-    to the server next.
+    If it were forwarded, the hidden second request would run with the credentials of
+    the next user of the server connection.
     """
     server = place.add_server("gate-1")
     router = place.start_router()
@@ -162,17 +163,17 @@
 
 
 def resolve(router: support.Router) -> set[str]:
-    """Return the routers that a directory names."""
+    """Return the router addresses in the answer of a router's directory."""
     path = f"/v1/resolve?name={support.HOST}&region=here&zone=hala-a"
     status, body = router.get(router.settings.directory_address, path)
     return set(json.loads(body)["addresses"]) if status == 200 else set()
 
 
-def test_directory_names_peers_that_became_ready_after_they_joined() -> None:
-    """Routers meet before there is a configuration, and get it a moment later.
+def test_directory_lists_peers_that_became_ready_after_they_joined() -> None:
+    """Routers discover each other before they receive a configuration.
 
-    One that goes on by what it knew when they met names only itself: all callers near
-    it use one router, which has no thread left, while the others idle.
+    A router that kept the peers' initial state would list only itself. All callers near
+    it would use one router, which runs out of threads while the others are idle.
     """
     with support.open_place(configured=False) as place:
         place.add_server("gate-1")
@@ -187,7 +188,7 @@
             support.wait_for(lambda found=router: resolve(found) == both)
 
 
-def test_directory_names_ready_routers_and_leaves_out_one_that_stops(place) -> None:
+def test_directory_lists_ready_routers_and_omits_one_that_stops(place) -> None:
     place.add_server("gate-1")
     first = place.start_router("edge-1")
     second = place.start_router("edge-2")
@@ -206,8 +207,8 @@
     place.add_server("gate-1")
     router = place.start_router()
     assert router.call("/elsewhere/1").status == 404
-    kept = router.connect()
-    assert support.ask(kept, "/bookings/1").status == 200
+    connection = router.connect()
+    assert support.ask(connection, "/bookings/1").status == 200
 
     def read_metrics() -> str:
         return router.get(router.settings.ready_address, names.METRICS)[1].decode()
@@ -216,14 +217,14 @@
     support.wait_for(
         lambda: 'celeryspan_caller_connections{use="idle"} 1.0' in read_metrics()
     )
-    kept.close()
+    connection.close()
 
 
 def test_router_listens_to_callers_before_it_says_that_it_is_ready() -> None:
-    """The platform asks a router that has just started, and is told that it is ready.
+    """Guards against a readiness answer before the router listens for callers.
 
-    Its front did not listen yet: callers that the directory sent there were refused a
-    connection and held it for failed.
+    Callers that the directory sent to such a router were refused a connection and
+    considered it failed.
     """
     gateway.import_services()
     order = kernel.Kernel(None)._order(gateway.SERVICES)
--- a/tests/gateway/test_full_router.py
+++ b/tests/gateway/test_full_router.py
@@ -1,4 +1,4 @@
-"""One router is futures for many times what it takes at a time, on real sockets."""
+"""A router receives many times its concurrency limit on real sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 THREADS = 8
 CALLERS = 160
-"""Callers that come at once, twenty times what the router takes."""
+"""Concurrent callers, twenty times the router's limit."""
 
 LONG_DEADLINE = {"Celeryspan-Deadline-Ms": "30000"}
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerResult:
-    """What one caller got."""
+    """The answer that one caller received."""
 
     request: str
     status: int
@@ -29,21 +29,21 @@
 
 
 def ask(router: processes.ProcessRouter, request: str) -> CallerResult:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     with contextlib.closing(processes.connect(router.caller_address)) as connection:
         answer = support.ask(connection, "/notes/1", request, headers=LONG_DEADLINE)
         retry_after = answer.getheader("Retry-After")
         return CallerResult(request, answer.status, retry_after, answer.text)
 
 
-def test_every_caller_of_a_full_router_is_served_or_told_when_to_return(
+def test_every_caller_of_a_full_router_is_served_or_gets_a_retry_time(
     place: support.Place, tmp_path: pathlib.Path
 ) -> None:
-    """An account's callers all come to one router at once, far more than it takes.
+    """All callers of an account use one router at once, far above its limit.
 
-    Callers met no connection, or waited unread until their deadlines; the directory
-    beside the front did not answer, so that they stayed. Each is to get an answer: the
-    whole stream, or a refusal that is true and says when to come back.
+    Callers could not connect, or their requests were not read before the deadline. The
+    directory of the same process did not answer, so that they stayed with this router.
+    Each caller must get the complete stream or a correct refusal with Retry-After.
     """
     engine = place.add_server("planner-1", "planner", slots=64)
     engine.event_seconds = 0.02
@@ -59,7 +59,7 @@
     assert len(served) + len(refused) == CALLERS
     assert served
     assert refused
-    assert set(engine.ran) == served, "a refusal says that the request has not run"
+    assert set(engine.ran) == served, "a refused request must not have run"
     for each in results:
         if each.status == 200:
             assert each.body.endswith(b"piece 6\n\n")
--- a/tests/gateway/test_migrations.py
+++ b/tests/gateway/test_migrations.py
@@ -1,4 +1,4 @@
-"""A run that is moved to another engine reaches its caller whole and once."""
+"""Runs that migrate to another engine: the caller gets each event exactly once."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 WHOLE = [f"piece {number}" for number in range(1, platformserver.EVENTS + 1)]
 
 
-class Moving:
+class MigratingStream:
     """A stream in progress at one of two engines.
 
     Attributes
     ----------
     source, target : PlatformServer
-        The engine that runs it, and the other one.
+        The engine that runs the request, and the other engine.
     answers : list
-        The caller's answer, once it is whole.
+        The caller's answer, once it is complete.
     """
 
     def __init__(self, place: support.Place, path: str) -> None:
@@ -43,20 +43,20 @@
         found = self.router.box.find("places")
         support.wait_for(lambda: getattr(found.find_held("r1"), "is_begun", False))
 
-    def move(self) -> None:
-        """Tell the router what its home would tell it."""
+    def request_migration(self) -> None:
+        """Send the router the migration request of a home router."""
         move = messages.RunMove("r1", POOL, self.source.name, self.target.name)
         own = self.router.box.find("identity").router
         self.router.box.find("delivery").send(own, move)
 
     def finish(self) -> list[str]:
-        """Return the pieces that the caller got."""
+        """Wait for the end of the stream; returns the events' texts."""
         self._thread.join()
         lines = self.answers[0].text.decode().splitlines()
         return [line.removeprefix("data: ") for line in lines if "piece" in line]
 
     def count_runs(self) -> int:
-        """Return how many places the home holds for taken."""
+        """Return the number of places that the home router counts as occupied."""
         return self.router.box.find("poolhomes").report()[POOL]["runs"]
 
     def _ask(self, path: str) -> None:
@@ -68,57 +68,62 @@
 
 
 @pytest.fixture(params=["/drafts/1", "/notes/1"])
-def moving(place, request) -> Moving:
-    """Return a stream that may be resumed, and one that may not."""
-    return Moving(place, request.param)
+def stream(place, request) -> MigratingStream:
+    """Return a stream in progress, on a resumable and on a non-resumable route."""
+    return MigratingStream(place, request.param)
 
 
-def test_stream_goes_on_at_the_other_engine(moving: Moving) -> None:
-    moving.move()
-    assert moving.finish() == WHOLE
-    assert moving.target.resumed == ["r1"]
-    (resumed,) = [seen for seen in moving.target.seen if seen.request == "r1"]
-    assert resumed.headers["kv-from"] == f"{moving.source.address}/copy-r1"
+def test_stream_resumes_at_the_target_engine(stream: MigratingStream) -> None:
+    stream.request_migration()
+    assert stream.finish() == WHOLE
+    assert stream.target.resumed == ["r1"]
+    (resumed,) = [seen for seen in stream.target.seen if seen.request == "r1"]
+    assert resumed.headers["kv-from"] == f"{stream.source.address}/copy-r1"
     assert int(resumed.headers["last-event-id"]) >= 1
-    assert len(moving.source.ran) == 1
-    support.wait_for(lambda: moving.count_runs() == 0)
+    assert len(stream.source.ran) == 1
+    support.wait_for(lambda: stream.count_runs() == 0)
 
 
-def test_target_that_refuses_leaves_the_run_to_its_source(moving: Moving) -> None:
-    """The target has no room any more when the run comes.
+def test_source_resumes_a_run_that_the_target_refuses(stream: MigratingStream) -> None:
+    """The target is full when it is asked to resume the run.
 
-    The source has stopped the run; nobody goes on with it unless it is asked to.
+    The source has stopped the run already, so that it must be asked to resume it.
     """
-    moving.target.script.append("full")
-    moving.move()
-    assert moving.finish() == WHOLE
-    assert moving.source.resumed == ["r1"]
-    assert moving.target.resumed == []
-    support.wait_for(lambda: moving.count_runs() == 0)
+    stream.target.script.append("full")
+    stream.request_migration()
+    assert stream.finish() == WHOLE
+    assert stream.source.resumed == ["r1"]
+    assert stream.target.resumed == []
+    support.wait_for(lambda: stream.count_runs() == 0)
 
 
-def test_copy_that_was_not_made_leaves_the_run_to_its_source(moving: Moving) -> None:
-    """The engine stops the run and finds no way to the other one: 503 with a handle."""
-    moving.source.move_answer = 503
-    moving.move()
-    assert moving.finish() == WHOLE
-    assert moving.source.resumed == ["r1"]
-    assert moving.target.seen == []
+def test_source_resumes_a_run_whose_copy_failed(stream: MigratingStream) -> None:
+    """The source stops the run but cannot reach the target: 503 with a handle."""
+    stream.source.move_answer = 503
+    stream.request_migration()
+    assert stream.finish() == WHOLE
+    assert stream.source.resumed == ["r1"]
+    assert stream.target.seen == []
 
 
 @pytest.mark.parametrize("answer", [404, 0])
-def test_run_that_was_not_stopped_runs_on(moving: Moving, answer: int) -> None:
-    """The call that should move the run is refused, or its connection is reset."""
-    moving.source.move_answer = answer
-    moving.move()
-    assert moving.finish() == WHOLE
-    assert moving.source.resumed == moving.target.resumed == []
-    support.wait_for(lambda: moving.count_runs() == 0)
-
-
-def test_move_of_a_run_that_has_ended_frees_its_place(moving: Moving) -> None:
-    """The home decides as the run ends, and waits for word of the place it holds."""
-    assert moving.finish() == WHOLE
-    moving.move()
-    support.wait_for(lambda: moving.count_runs() == 0)
-    assert moving.target.resumed == []
+def test_run_that_was_not_stopped_continues(
+    stream: MigratingStream, answer: int
+) -> None:
+    """The migration request to the engine is refused, or its connection is reset."""
+    stream.source.move_answer = answer
+    stream.request_migration()
+    assert stream.finish() == WHOLE
+    assert stream.source.resumed == stream.target.resumed == []
+    support.wait_for(lambda: stream.count_runs() == 0)
+
+
+def test_migration_of_an_ended_run_releases_its_place(stream: MigratingStream) -> None:
+    """The home router requests a migration while the run ends.
+
+    It must still be told the result, or it would count the place as occupied for good.
+    """
+    assert stream.finish() == WHOLE
+    stream.request_migration()
+    support.wait_for(lambda: stream.count_runs() == 0)
+    assert stream.target.resumed == []
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -209,7 +209,7 @@
     running.join()
 
 
-class CutStream(test_migrations.Moving):
+class CutStream(test_migrations.MigratingStream):
     """A stream in progress that may be cut."""
 
     def _ask(self, path: str) -> None:
@@ -223,7 +223,7 @@
     """Guards against a copy of a request's memory that crashes one more server."""
     moving = CutStream(place, "/drafts/1")
     blame(moving.router, b"asked", 3, "/drafts/1")
-    moving.move()
+    moving.request_migration()
     assert moving.finish() == []
     assert moving.target.resumed == []
     assert moving.source.resumed == []
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -1,4 +1,4 @@
-"""Refusals on the thread that accepts: which bytes they take, and what callers get."""
+"""Early refusals: which data they apply to, and what callers receive."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 WHOLE = HEAD + b"Content-Length: 3\r\n\r\nabc"
 
 
-def test_whole_request_is_found_with_its_id() -> None:
+def test_complete_request_is_found_with_its_id() -> None:
     found = quickrefusals.parse_whole_request(WHOLE, ID)
     assert found == quickrefusals.BufferedRequest(len(WHOLE), b"r7")
 
 
-def test_request_without_body_is_whole_at_the_end_of_its_head() -> None:
+def test_request_without_body_is_complete_after_its_head() -> None:
     assert quickrefusals.parse_whole_request(HEAD + b"\r\n", ID) is not None
 
 
 @pytest.mark.parametrize("size", range(len(WHOLE)))
-def test_request_that_has_not_come_whole_is_left(size: int) -> None:
+def test_incomplete_request_is_not_refused_early(size: int) -> None:
     assert quickrefusals.parse_whole_request(WHOLE[:size], ID) is None
 
 
@@ -49,24 +49,24 @@
         b"GET / HTTP/0.9\r\n\r\n",
     ],
 )
-def test_bytes_whose_end_is_in_doubt_go_the_usual_way(data: bytes) -> None:
-    """A caller hides a second request behind the first one's length.
+def test_ambiguous_requests_take_the_normal_path(data: bytes) -> None:
+    """Guards against request smuggling through an ambiguous length.
 
-    Whoever takes the wrong number of bytes reads the rest as a request of its own.
+    If the wrong number of bytes is consumed, the rest is read as another request.
     """
     assert quickrefusals.parse_whole_request(data, ID) is None
 
 
 @hypothesis.given(strategies.binary(max_size=200))
-def test_any_bytes_are_looked_at_without_an_error(data: bytes) -> None:
+def test_arbitrary_data_raises_no_error(data: bytes) -> None:
     for each in (data, HEAD + data, WHOLE + data):
         found = quickrefusals.parse_whole_request(each, ID)
         assert found is None or found.size == len(each)
 
 
 @pytest.fixture
-def full(place, monkeypatch):
-    """Return a router that takes no request more, and its server."""
+def full_router(place, monkeypatch):
+    """Return a router that is at its concurrency limit, and its backend server."""
     server = place.add_server("gate-1")
     router = place.start_router()
     monkeypatch.setattr(
@@ -75,17 +75,17 @@
     return router, server
 
 
-def test_refused_caller_is_told_that_nothing_ran_and_when_to_return(full) -> None:
-    router, server = full
+def test_refusal_has_a_retry_time_and_reaches_no_server(full_router) -> None:
+    router, server = full_router
     answer = router.call("/bookings/1", "r9")
     check_refusal(answer, "r9")
     assert json.loads(answer.text)["error"]["code"] == "router-full"
     assert server.seen == []
 
 
-def test_request_that_comes_in_one_piece_ends_its_connection(full) -> None:
-    """Refused where it lies, a request's connection ends: nothing behind it is read."""
-    router, server = full
+def test_early_refusal_closes_the_connection(full_router) -> None:
+    """The connection is closed after an early refusal: no further data is read."""
+    router, server = full_router
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port)), support.WAIT_SECONDS) as caller:
         caller.sendall(WHOLE)
@@ -100,14 +100,14 @@
 
 
 def check_refusal(answer: http.client.HTTPResponse, request: str) -> None:
-    """Check what every refusal says, whichever way it was written."""
+    """Check the parts that early and normal refusals have in common."""
     assert answer.status == 503
     assert answer.getheader("Celeryspan-Request-Id") == request
     assert float(answer.getheader("Retry-After")) > 0
 
 
-def test_request_that_comes_in_two_parts_is_refused_too(full) -> None:
-    router, server = full
+def test_request_received_in_two_parts_is_refused(full_router) -> None:
+    router, server = full_router
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port)), support.WAIT_SECONDS) as caller:
         caller.sendall(WHOLE[:-1])
@@ -117,9 +117,9 @@
     assert server.seen == []
 
 
-def test_caller_that_reads_late_still_gets_its_refusal(full) -> None:
-    """A caller sends its request and reads only after the router has closed."""
-    router, _ = full
+def test_caller_that_reads_late_receives_its_refusal(full_router) -> None:
+    """A caller reads its answer only after the router has closed the connection."""
+    router, _ = full_router
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port)), support.WAIT_SECONDS) as caller:
         caller.sendall(WHOLE)
@@ -127,19 +127,22 @@
         assert caller.recv(65_536).startswith(b"HTTP/1.1 503 ")
 
 
-def test_refusal_takes_no_thread(full) -> None:
-    """One account sends several times what a router can pass on.
+def test_refusal_takes_no_thread(full_router) -> None:
+    """One account sends several times the load that a router can forward.
 
-    Each refusal took a thread, which those requests that were taken had to wait for.
+    Each refusal occupied a thread, for which accepted requests had to wait.
     """
-    router, _ = full
+    router, _ = full_router
     threads = router.box.find("front")._server.requests
-    handed = []
+    passed_to_threads = []
     put = threads.put
-    threads.put = lambda connection: (handed.append(connection), put(connection))
+    threads.put = lambda connection: (
+        passed_to_threads.append(connection),
+        put(connection),
+    )
     host, _, port = router.settings.caller_address.partition(":")
     for _ in range(20):
         with socket.create_connection((host, int(port)), support.WAIT_SECONDS) as call:
             call.sendall(WHOLE)
             assert call.recv(65_536).startswith(b"HTTP/1.1 503 ")
-    assert handed == []
+    assert passed_to_threads == []
