--- a/celeryspan/gateway/budgets.py
+++ b/celeryspan/gateway/budgets.py
@@ -1,4 +1,4 @@
-"""The kernel service ``budgets``: this router's part of the fleet's repeated sends."""
+"""The kernel service ``budgets``: this router's share of the fleet's retry budget."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 
 @kernel.register("budgets", needs=("poolmap",))
-class Budgets:
-    """Counts requests and repeats of each service."""
+class RetryBudgets:
+    """Holds a retry budget for each service."""
 
     def __init__(self, box: kernel.Kernel) -> None:
-        self._map: poolmap.PoolMap = box.find("poolmap")
+        self._pool_map: poolmap.PoolMap = box.find("poolmap")
         self._settings = box.settings
         self._budgets: dict[ids.ServiceId, retrybudget.RetryBudget] = {}
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Nothing to begin."""
+        """Do nothing: the service has no background work."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: the service holds no resources."""
 
-    def note_request(self, service: ids.ServiceId) -> None:
-        """Count a request of a caller."""
+    def record_request(self, service: ids.ServiceId) -> None:
+        """Count a caller's request, which adds to the budget."""
         with self._lock:
-            self._find(service).record_request(time.monotonic())
+            self._get_budget(service).record_request(time.monotonic())
 
-    def take(self, service: ids.ServiceId) -> bool:
-        """Take one repeat from the budget, if one is left."""
+    def try_take(self, service: ids.ServiceId) -> bool:
+        """Take one retry from the budget; returns whether one was available."""
         with self._lock:
-            routers = self._map.count_routers()
-            return self._find(service).try_take(time.monotonic(), routers)
+            routers = self._pool_map.count_routers()
+            return self._get_budget(service).try_take(time.monotonic(), routers)
 
-    def _find(self, service: ids.ServiceId) -> retrybudget.RetryBudget:
+    def _get_budget(self, service: ids.ServiceId) -> retrybudget.RetryBudget:
         if service not in self._budgets:
             self._budgets[service] = retrybudget.RetryBudget(
                 self._settings.retry_ratio,
--- a/celeryspan/gateway/channels.py
+++ b/celeryspan/gateway/channels.py
@@ -1,4 +1,4 @@
-"""The kernel service ``channels``: connections to backend servers, kept with care."""
+"""The kernel service ``channels``: a pool of connections to backend servers."""
 
 from __future__ import annotations
 
@@ -21,54 +21,54 @@
 from celeryspan.services import callerconnections
 
 CONNECT_SECONDS = 0.4
-"""A server's port answers within a few milliseconds; one that is dark never does, and
-the request can still go to another one."""
+"""Connect timeout. A running server accepts within a few milliseconds; one without
+power never does, and the request can still go to another server."""
 
-SILENT_MS = 1_000
-"""What was sent and is not acknowledged for this long is lost: the other end has no
-power or the connection has been forgotten on the way. In milliseconds."""
+UNACKNOWLEDGED_MS_MAX = 1_000
+"""Time after which unacknowledged data counts as lost, in milliseconds. The other end
+has no power, or the network has dropped the connection's state."""
 
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS_MAX),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 )
 
-IDLE_MAX = 24
-"""Idle connections kept for each server."""
+IDLE_PER_SERVER_MAX = 24
+"""Maximum idle connections per server."""
 
-IDLE_SECONDS = 4.0
-"""How long one is kept if the server does not say; below the 5 s that are common."""
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
+"""Keep-alive time if the server announces none; below the common 5 s."""
 
-IDLE_MARGIN_SECONDS = 1.0
-"""A server closes an idle connection after whole seconds; what is sent as it closes is
-lost, so that a connection this close to its end is not used."""
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+"""A connection is not used this close to its keep-alive timeout. Servers time out in
+whole seconds, and a request sent while the server closes is lost."""
 
-FRESH_SECONDS = 1.0
-"""A request that must not run twice takes a kept connection only if it was idle for
-less: one that the server has dropped meanwhile loses the request for good."""
+AT_MOST_ONCE_IDLE_SECONDS_MAX = 1.0
+"""Maximum idle time of a connection for a request that must not run twice. If the
+server has dropped the connection, such a request is lost and cannot be retried."""
 
-LIMIT_SECONDS = 0.1
-"""A limit of reads may be this much late: to set it anew for each event of a stream is
-one more system call for each."""
+TIMEOUT_TOLERANCE_SECONDS = 0.1
+"""Tolerance of read timeouts. Setting the timeout for each event of a stream would cost
+one system call per event."""
 
 STALE_ANSWERS_MAX = 4
-"""Answers of earlier requests that are skipped on one connection."""
+"""Maximum answers to earlier requests that are skipped on one connection."""
 
 TIMEOUT_PATTERN = re.compile(r"timeout=(\d+)")
 
-FAULTS = (OSError, http.client.HTTPException, ValueError)
-"""What can go wrong on a connection once it is open."""
+CONNECTION_ERRORS = (OSError, http.client.HTTPException, ValueError)
+"""Exceptions that an open connection may raise."""
 
 
 class _SharedReader(io.RawIOBase):
-    """Lets several answers be read through the one buffer of a connection.
+    """Lets consecutive answers share one read buffer.
 
-    The parser closes its file at the end of an answer; a file of its own for each would
-    swallow bytes of the next answer in its buffer.
+    The parser closes its file at the end of an answer. With a separate file for each
+    answer, bytes of the next answer would be lost in the closed file's buffer.
     """
 
     def __init__(self, reader: io.BufferedReader) -> None:
@@ -81,40 +81,50 @@
         self.peek = reader.peek
 
     def makefile(self, _: str) -> _SharedReader:
-        """Return itself: the parser takes it for a socket."""
+        """Return itself; the parser calls this as on a socket."""
         return self
 
     def close(self) -> None:
-        """Leave the connection open."""
+        """Do nothing, so that the connection stays open."""
 
 
 class Channel:
-    """One connection to a backend server, used by one request at a time."""
+    """One connection to a backend server, used by one request at a time.
+
+    Attributes
+    ----------
+    entry : ServerEntry
+        The server's entry when the connection was opened.
+    reusable_until, idle_since : float
+        Monotonic times, in seconds.
+    is_new : bool
+        Whether no answer has been read on the connection yet.
+    """
 
     def __init__(self, entry: catalog.ServerEntry, sock: socket.socket) -> None:
         self.server = entry.server
         self.entry = entry
-        self.kept_until = 0.0
+        self.reusable_until = 0.0
         self.idle_since = time.monotonic()
         self.is_new = True
         self._socket = sock
         self._reader = sock.makefile("rb")
-        self._is_spoilt = False
-        self._use = 0
+        self._is_unusable = False
+        self._use_number = 0
         self._use_lock = threading.Lock()
-        self._until = self._limited_at = 0.0
+        self._read_deadline = self._timeout_set_at = 0.0
 
     def send(self, data: bytes, until: float) -> None:
-        """Send a whole request, or as much as the server reads before it answers.
+        """Send a request, or as much of it as the server reads before it answers.
 
-        A server may answer before it has read a long body. Waiting for the rest to be
-        taken would end in a deadlock; the connection is not used again, so that no
-        other bytes stand where the rest of the body is due.
+        A server may answer before it has read a long body; waiting until it reads the
+        rest would deadlock. The connection is then not reused, because the server would
+        read the next request as the rest of the body.
 
         Raises
         ------
         OSError
-            If the connection breaks, or time is over.
+            If the connection fails or the deadline passes.
         """
         self._set_blocking(False)
         poll = select.poll()
@@ -123,12 +133,12 @@
         while view:
             left = until - time.monotonic()
             if left <= 0:
-                raise TimeoutError("time is over")
+                raise TimeoutError("deadline passed")
             for _, state in poll.poll(left * 1000):
                 if state & select.POLLOUT:
                     view = view[self._socket.send(view) :]
                 elif state & (select.POLLIN | select.POLLHUP | select.POLLERR):
-                    self._is_spoilt = True
+                    self._is_unusable = True
                     return
 
     def receive(
@@ -136,11 +146,11 @@
     ) -> http.client.HTTPResponse:
         """Read the head of the answer to a request.
 
-        An answer that names another request is a second one to an earlier request on
-        this connection; it is read to its end and dropped.
+        An answer with another request id is a duplicate answer to an earlier request on
+        this connection. It is read to its end and discarded.
         """
         for _ in range(STALE_ANSWERS_MAX):
-            self.limit(until)
+            self.set_read_deadline(until)
             shared = _SharedReader(self._reader)
             answer = http.client.HTTPResponse(shared, method=method)
             answer.begin()
@@ -151,78 +161,82 @@
                 events.Event.STALE_ANSWER_DROPPED, request=request, server=self.server
             )
             answer.read()
-        raise http.client.HTTPException("only answers to other requests")
+        raise http.client.HTTPException("received only answers to other requests")
 
-    def limit(self, until: float) -> None:
-        """Let reads fail at a time.
+    def set_read_deadline(self, until: float) -> None:
+        """Set the time at which reads time out.
 
         Raises
         ------
         TimeoutError
-            If it has come.
+            If it has passed.
         """
         now = time.monotonic()
         left = until - now
         if left <= 0:
-            raise TimeoutError("time is over")
-        if until != self._until or now - self._limited_at > LIMIT_SECONDS:
-            self._until, self._limited_at = until, now
+            raise TimeoutError("deadline passed")
+        if (
+            until != self._read_deadline
+            or now - self._timeout_set_at > TIMEOUT_TOLERANCE_SECONDS
+        ):
+            self._read_deadline, self._timeout_set_at = until, now
             self._socket.settimeout(left)
 
     def _set_blocking(self, is_blocking: bool) -> None:
         self._socket.setblocking(is_blocking)
-        self._until = 0.0  # The limit of reads is gone.
+        self._read_deadline = 0.0  # This has removed the read timeout.
 
-    def is_clean(self) -> bool:
-        """Whether no byte waits that belongs to no request, and it is not closed."""
-        if self._is_spoilt:
+    def is_reusable(self) -> bool:
+        """Return whether the connection is open and has no unread data."""
+        if self._is_unusable:
             return False
         try:
             self._set_blocking(False)
             return not self._reader.peek(1) and not urllib3_wait.wait_for_read(
                 self._socket, 0
             )
-        except FAULTS:
+        except CONNECTION_ERRORS:
             return False
 
-    def note_answer(self, answer: http.client.HTTPResponse) -> None:
-        """Take from an answer whether and how long the connection may be kept."""
+    def update_keep_alive(self, answer: http.client.HTTPResponse) -> None:
+        """Set how long the connection may be reused, from the headers of an answer."""
         if answer.will_close:
-            self._is_spoilt = True
+            self._is_unusable = True
             return
         found = TIMEOUT_PATTERN.search(answer.getheader("Keep-Alive") or "")
-        seconds = float(found.group(1)) if found else IDLE_SECONDS
+        seconds = float(found.group(1)) if found else DEFAULT_KEEP_ALIVE_SECONDS
         now = time.monotonic()
         self.idle_since = now
-        self.kept_until = now + max(0.0, seconds - IDLE_MARGIN_SECONDS)
+        self.reusable_until = now + max(0.0, seconds - KEEP_ALIVE_MARGIN_SECONDS)
         self.is_new = False
 
-    def make_abort(self) -> Callable[[], None]:
-        """Return what ends the connection for as long as its present use lasts.
+    def make_abort_callback(self) -> Callable[[], None]:
+        """Return a callback that aborts the connection during its current use only.
 
-        A caller's closing is noticed by another thread, at times after the request has
-        ended and the connection serves somebody else's, whose answer would be lost.
+        Another thread detects that a caller has disconnected. It may do so after the
+        request has ended and another one uses the connection, whose answer would be
+        lost by an abort.
         """
-        use = self._use
+        use = self._use_number
 
         def abort_use() -> None:
             with self._use_lock:
-                if self._use == use:
+                if self._use_number == use:
                     self.abort()
 
         return abort_use
 
     def end_use(self) -> None:
-        """Note that a request is done with the connection."""
+        """Mark the end of the current use, which disables its abort callback."""
         with self._use_lock:
-            self._use += 1
+            self._use_number += 1
 
     def abort(self) -> None:
-        """Wake the thread that reads; it meets the end of the connection."""
+        """Shut the connection down, which wakes the thread that reads from it."""
         try:
             self._socket.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # The connection has ended already.
+            pass  # The connection is closed already.
 
     def close(self) -> None:
         """Close the connection."""
@@ -230,55 +244,57 @@
             self._reader.close()
             self._socket.close()
         except OSError:
-            pass  # It was reset; the descriptor is free either way.
+            pass  # The connection was reset; its descriptor is released anyway.
 
 
 @kernel.register("channels")
 class Channels:
-    """Opens connections to backend servers and keeps some of them open."""
+    """Opens connections to backend servers and keeps idle ones for reuse."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._lock = threading.Lock()
         self._idle: dict[ids.ServerId, collections.deque[Channel]] = {}
-        # All idle ones, the one that was idle for longest first.
-        self._by_age: collections.OrderedDict[Channel, None] = collections.OrderedDict()
+        # All idle connections, the one that has been idle longest first.
+        self._idle_by_age: collections.OrderedDict[Channel, None] = (
+            collections.OrderedDict()
+        )
         allowed = getattr(box.settings, "descriptors_max", 0)
         self._idle_max = callerconnections.compute_budget(allowed).servers
         self._open: weakref.WeakSet[Channel] = weakref.WeakSet()
-        self._entries: Mapping[ids.ServerId, catalog.ServerEntry] = {}
+        self._usable: Mapping[ids.ServerId, catalog.ServerEntry] = {}
         self._opened = 0
         self._reused = 0
 
     def start(self) -> None:
-        """Do nothing: connections are opened when they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     def stop(self) -> None:
         """Close the idle connections."""
         with self._lock:
             idle, self._idle = self._idle, {}
-            self._by_age.clear()
+            self._idle_by_age.clear()
         for channels in idle.values():
             for channel in channels:
                 channel.close()
 
     def report(self) -> dict[str, object]:
-        """Return counts for the operator."""
+        """Return the counts of opened and reused connections for the operator."""
         return {"opened": self._opened, "reused": self._reused}
 
-    def open(self, entry: catalog.ServerEntry, *, once_only: bool) -> Channel:
-        """Return a connection on which nothing of a request has been sent.
+    def open(self, entry: catalog.ServerEntry, *, at_most_once: bool) -> Channel:
+        """Return an idle or a new connection to a server.
 
         Parameters
         ----------
-        once_only : bool
-            The request must not run twice.
+        at_most_once : bool
+            Whether the request must not run twice.
 
         Raises
         ------
         errors.NotRun
-            If the server does not accept.
+            If the server does not accept a connection.
         """
-        channel = self._take_idle(entry.server, once_only)
+        channel = self._take_idle(entry.server, at_most_once)
         if channel is not None:
             self._reused += 1
             return channel
@@ -288,7 +304,7 @@
             )
         except OSError as error:
             raise errors.NotRun(
-                f"no connection: {error}",
+                f"could not connect: {error}",
                 code="server-unreachable",
                 status=503,
                 step="connect",
@@ -300,80 +316,90 @@
             self._open.add(channel)
         return channel
 
-    def keep(self, channel: Channel) -> None:
-        """Keep a connection whose last answer has been read to its end."""
+    def release(self, channel: Channel) -> None:
+        """Return a connection to the pool after its answer was read completely."""
         channel.end_use()
         now = time.monotonic()
-        if now >= channel.kept_until or not channel.is_clean():
+        if now >= channel.reusable_until or not channel.is_reusable():
             channel.close()
             return
         with self._lock:
-            if self._is_dead(channel):
+            if self._is_superseded(channel):
                 channel.close()
                 return
             channels = self._idle.setdefault(channel.server, collections.deque())
             channels.append(channel)
-            self._by_age[channel] = None
-            surplus = self._take_surplus(channels)
+            self._idle_by_age[channel] = None
+            surplus = self._evict_surplus(channels)
         for each in surplus:
             each.close()
 
-    def _take_surplus(self, channels: collections.deque[Channel]) -> list[Channel]:
-        """Take out what is too much for one server, or for all; holds the lock.
+    def _evict_surplus(self, channels: collections.deque[Channel]) -> list[Channel]:
+        """Remove the connections above the limits per server and in total.
 
-        A bound for each server alone is none where there are hundreds of them: the
-        process would have no descriptor left for callers and for the directory.
+        The caller holds the lock. A limit per server alone does not suffice with
+        hundreds of servers: the process would have no file descriptors left for callers
+        and for the directory.
         """
         surplus = []
-        if len(channels) > IDLE_MAX:
+        if len(channels) > IDLE_PER_SERVER_MAX:
             surplus.append(channels.popleft())
-            del self._by_age[surplus[0]]
-        while len(self._by_age) > self._idle_max:
-            oldest, _ = self._by_age.popitem(last=False)
+            del self._idle_by_age[surplus[0]]
+        while len(self._idle_by_age) > self._idle_max:
+            oldest, _ = self._idle_by_age.popitem(last=False)
             self._idle[oldest.server].remove(oldest)
             surplus.append(oldest)
         return surplus
 
-    def drop(self, usable: Mapping[ids.ServerId, catalog.ServerEntry]) -> None:
-        """Close the idle connections to servers that are not among these.
+    def set_servers(self, usable: Mapping[ids.ServerId, catalog.ServerEntry]) -> None:
+        """Replace the list of usable servers and close outdated connections.
 
-        Those to an earlier incarnation of one of them are dead, and with a server that
-        went dark they may stay silent for long: what waits on them is woken, and is
-        repeated or given up at once.
+        Idle connections to servers that are not listed are closed. Connections to an
+        earlier incarnation of a server are dead, but may stay silent for long if the
+        server lost its power. They are aborted, so that their requests are retried or
+        fail at once.
         """
         with self._lock:
-            self._entries = usable
-            gone = [self._idle.pop(name) for name in self._idle.keys() - usable.keys()]
-            for channel in itertools.chain.from_iterable(gone):
-                del self._by_age[channel]
-            cut = [channel for channel in self._open if self._is_dead(channel)]
-        for channels in gone:
+            self._usable = usable
+            unlisted = [
+                self._idle.pop(name) for name in self._idle.keys() - usable.keys()
+            ]
+            for channel in itertools.chain.from_iterable(unlisted):
+                del self._idle_by_age[channel]
+            superseded = [
+                channel for channel in self._open if self._is_superseded(channel)
+            ]
+        for channels in unlisted:
             for channel in channels:
                 channel.close()
-        for channel in cut:
+        for channel in superseded:
             channel.abort()
 
-    def _is_dead(self, channel: Channel) -> bool:
-        """Whether a connection leads to an earlier incarnation; holds the lock.
+    def _is_superseded(self, channel: Channel) -> bool:
+        """Return whether a connection leads to an earlier incarnation of its server.
 
-        The server's entry may have lapsed in between, so that only the entry with which
-        the connection was opened tells.
+        The caller holds the lock. The connection keeps the entry with which it was
+        opened for this comparison, because the server's entry may have expired and
+        returned in between.
         """
-        current = self._entries.get(channel.server)
+        current = self._usable.get(channel.server)
         return current is not None and current.succeeds(channel.entry)
 
-    def _take_idle(self, server: ids.ServerId, once_only: bool) -> Channel | None:
+    def _take_idle(self, server: ids.ServerId, at_most_once: bool) -> Channel | None:
         while True:
             with self._lock:
                 channels = self._idle.get(server)
                 if not channels:
                     return None
                 channel = channels.pop()
-                del self._by_age[channel]
+                del self._idle_by_age[channel]
             now = time.monotonic()
-            if once_only and now - channel.idle_since > FRESH_SECONDS:
-                self.keep(channel)
+            if (
+                at_most_once
+                and now - channel.idle_since > AT_MOST_ONCE_IDLE_SECONDS_MAX
+            ):
+                self.release(channel)
                 return None
-            if now < channel.kept_until and channel.is_clean():
+            if now < channel.reusable_until and channel.is_reusable():
                 return channel
             channel.close()
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -1,7 +1,8 @@
-"""The kernel service ``front``: the address at which callers are served.
+"""The kernel service ``front``: the HTTP server for callers.
 
-The routes are the operator's and change while requests run, so that nothing of a web
-framework's own routing fits here; cherrypy's server reads the requests.
+Routes come from the operator's configuration and change while requests are in progress,
+which a web framework's static routing does not support. Therefore only cherrypy's HTTP
+server is used, to read the requests.
 """
 
 from __future__ import annotations
@@ -30,27 +31,28 @@
     from celeryspan.gateway import carrier, catalogues
     from celeryspan.services import membership
 
-STARTING_SECONDS = 0.5
-"""When to come back to a router that knows no configuration yet."""
+NOT_READY_RETRY_AFTER_SECONDS = 0.5
+"""Mean Retry-After of a router that has no configuration yet, or is stopping."""
 
-OVERLOAD_SECONDS = 0.5
-"""When to come back to a router that has no thread left."""
+OVERLOAD_RETRY_AFTER_SECONDS = 0.5
+"""Mean Retry-After of a router that has no free thread."""
 
 LATENESS_TICK_SECONDS = 0.1
 
-COUNT_SECONDS = 1.0
-"""Time between two counts of the connections for the metrics."""
+CONNECTION_COUNT_SECONDS = 1.0
+"""Interval at which connections are counted for the metrics."""
 
 ID_HEADER = names.REQUEST_ID.lower().encode()
 
-IDLE_MARGIN = 1.2
-IDLE_MARGIN_SECONDS = 3.0
-"""Callers may use a connection until the idle limit; closing it later by this factor
-and time never crosses a request on its way, also when a clock is stepped."""
+IDLE_TIMEOUT_FACTOR = 1.2
+IDLE_TIMEOUT_MARGIN_SECONDS = 3.0
+"""Callers may use a connection until the idle timeout. The router closes it later by
+this factor and margin, so that it never closes a connection on which a request is being
+sent, even if a clock is stepped."""
 
 
 class _Gateway(cheroot_server.Gateway):
-    """Hands a request to the front instead of to an application."""
+    """Passes requests to :class:`Front` instead of a WSGI application."""
 
     def respond(self) -> None:
         self.req.sent_headers = True
@@ -58,7 +60,7 @@
 
 
 class _Request(framing.Request):
-    """A request; refusals of its framing look like all others."""
+    """A request; framing errors are answered like all other refusals."""
 
     def simple_response(self, status: str, msg: str = "") -> None:
         self.close_connection = True
@@ -66,7 +68,7 @@
         self.sent_headers = True
         code = int(str(status)[:3])
         error = refusals.Refused(str(msg or status), code="malformed", status=code)
-        sink = callersinks.CallerSink(self, closes=True)
+        sink = callersinks.CallerSink(self, close_after=True)
         refusals.write_refusal(sink, "", error)
 
 
@@ -79,8 +81,8 @@
     front: Front
 
     def dispatch_connection(self, connection: _Connection) -> None:
-        """Refuse at once what this router can't take; give the rest to a thread."""
-        if self.is_accepting_thread() and self.front.refuse_quickly(connection):
+        """Refuse a request at once above the limit; else pass it to a thread."""
+        if self.is_accepting_thread() and self.front.refuse_early(connection):
             connection.close()
         else:
             super().dispatch_connection(connection)
@@ -88,14 +90,14 @@
 
 @kernel.register("front", needs=("carrier", "catalogues", "membership", "metrics"))
 class Front:
-    """Reads requests, finds route and account, and answers.
+    """Reads and validates requests, forwards them and writes refusals.
 
     Attributes
     ----------
     draining : bool
-        Whether answers announce the end of their connections.
+        Whether each connection is closed after its next answer.
     refusing : bool
-        Whether new requests are refused: this router is about to end.
+        Whether new requests are refused because the router is about to stop.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
@@ -103,7 +105,7 @@
         self._carrier: carrier.Carrier = box.find("carrier")
         self._catalogues: catalogues.CataloguesService = box.find("catalogues")
         self._membership: membership.MembershipService = box.find("membership")
-        self._meters: metrics.Metrics = box.find("metrics")
+        self._metrics: metrics.Metrics = box.find("metrics")
         self._random = random.Random(f"{box.settings.router} {time.time_ns()}")
         self._lock = threading.Lock()
         self._in_progress: dict[int, orders.Order | None] = {}
@@ -128,7 +130,7 @@
         self._server.front = self
 
     def start(self) -> None:
-        """Listen; raises OSError if the address is taken."""
+        """Start to listen; raises OSError if the address is in use."""
         self._server.open()
         self._catalogues.subscribe(self._apply_limits)
         threading.Thread(
@@ -136,31 +138,31 @@
         ).start()
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Shut the server down."""
         self._stopped.set()
         self._server.shut_down()
 
     def report(self) -> dict[str, object]:
-        """Return the state for the operator."""
+        """Return the server's state for the operator."""
         idle, _ = self._server.count_connections()
         return {
             "connections_idle": idle,
-            "in_progress": self.count(),
+            "in_progress": self.count_in_progress(),
             "in_progress_max": self._overload.limit,
             "lateness_seconds": round(self._overload.lateness, 3),
             "draining": self.draining,
         }
 
-    def count(self) -> int:
-        """Return how many requests are in progress."""
+    def count_in_progress(self) -> int:
+        """Return the number of requests in progress."""
         return len(self._in_progress)
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._server.stop_listening()
 
-    def cut(self) -> list[str]:
-        """End what is in progress and return the ids of the requests."""
+    def abort_requests(self) -> list[str]:
+        """Abort the requests in progress and return their ids."""
         with self._lock:
             found = [order for order in self._in_progress.values() if order]
         for order in found:
@@ -168,12 +170,12 @@
         return [order.request for order in found]
 
     def serve(self, request: cheroot_server.HTTPRequest) -> None:
-        """Serve one request whose head has been read."""
+        """Serve a request whose head has been read."""
         key = id(request)
         self._in_progress[key] = None
         is_full = not self._server.can_add_keepalive_connection
-        sink = callersinks.CallerSink(request, closes=self.draining or is_full)
-        name = request.inheaders.get(names.REQUEST_ID.title().encode(), b"")
+        sink = callersinks.CallerSink(request, close_after=self.draining or is_full)
+        request_id = request.inheaders.get(names.REQUEST_ID.title().encode(), b"")
         order = None
         try:
             body = acceptance.read_body(request)
@@ -183,28 +185,28 @@
             with self._lock:
                 self._in_progress[key] = order
             self._server.close_watcher.add(request.conn.socket, order.presence.leave)
-            self._carry(order, sink)
+            self._forward(order, sink)
         except errors.RequestError as error:
-            self._refuse(sink, name.decode("latin-1"), error, order)
+            self._refuse(sink, request_id.decode("latin-1"), error, order)
         except OSError:
-            events.log(events.Event.CALLER_LEFT, request=name.decode("latin-1"))
+            events.log(events.Event.CALLER_LEFT, request=request_id.decode("latin-1"))
             request.close_connection = True
         except Exception as error:
-            # Nobody knows how far the request has come: no promise is made.
+            # The request may have run: an unexpected error can occur at any stage.
             events.log(
-                events.Event.TASK_FAILED, request=name.decode(), error=repr(error)
+                events.Event.TASK_FAILED, request=request_id.decode(), error=repr(error)
             )
             internal = errors.OutcomeUnknown(
                 f"internal error: {type(error).__name__}", code="internal", status=500
             )
-            self._refuse(sink, name.decode("latin-1"), internal, order)
+            self._refuse(sink, request_id.decode("latin-1"), internal, order)
         finally:
             with self._lock:
                 del self._in_progress[key]
 
-    def _carry(self, order: orders.Order, sink: callersinks.CallerSink) -> None:
+    def _forward(self, order: orders.Order, sink: callersinks.CallerSink) -> None:
         try:
-            self._carrier.carry(order, sink)
+            self._carrier.forward(order, sink)
         except backend.AnswerLost as lost:
             events.log(
                 events.Event.REQUEST_SETTLED,
@@ -213,42 +215,46 @@
                 error=str(lost),
             )
             if sink.is_begun:
-                sink.cut()
+                sink.abort()
                 return
             raise errors.OutcomeUnknown(
                 lost.message, code="answer-lost", status=502, step=lost.step
             ) from lost
 
-    def refuse_quickly(self, connection: _Connection) -> bool:
-        """Refuse a request that is above the limit; returns whether it was.
+    def refuse_early(self, connection: _Connection) -> bool:
+        """Refuse a request above the concurrency limit; returns whether it was refused.
 
-        False also if it has not come whole yet, or is none: it goes the usual way then.
+        Also returns False if the received data is not exactly one complete request; it
+        then takes the normal path.
         """
-        if self._overload.admits(self.count()) or connection.rfile.has_data():
+        if (
+            self._overload.admits(self.count_in_progress())
+            or connection.rfile.has_data()
+        ):
             return False
         try:
-            found = quickrefusals.take_request(connection.socket, ID_HEADER)
+            found = quickrefusals.read_whole_request(connection.socket, ID_HEADER)
         except OSError:
             return False
         if found is None:
             return False
-        name = found.request.decode("latin-1")
-        error = self._make_full()
-        self._note_refusal(name, error)
+        request_id = found.request.decode("latin-1")
+        error = self._make_router_full_error()
+        self._record_refusal(request_id, error)
         try:
             quickrefusals.send_answer(
-                connection.socket, refusals.write_refusal_bytes(name, error)
+                connection.socket, refusals.serialize_refusal(request_id, error)
             )
         except OSError:
-            pass  # The caller has left, or does not read; its request has not run.
+            pass  # The caller has disconnected or does not read; nothing has run.
         return True
 
-    def _make_full(self) -> errors.NotRun:
+    def _make_router_full_error(self) -> errors.NotRun:
         return errors.NotRun(
-            "this router has no thread left for the request",
+            "the router has reached its limit of concurrent requests",
             code="router-full",
             status=503,
-            retry_after=OVERLOAD_SECONDS * (0.5 + self._random.random()),
+            retry_after=OVERLOAD_RETRY_AFTER_SECONDS * (0.5 + self._random.random()),
             step="accept",
         )
 
@@ -256,73 +262,82 @@
         current = self._catalogues.current()
         if current is None or self.refusing:
             raise errors.NotRun(
-                "this router starts or stops; use another one",
+                "the router is starting or stopping; use another router",
                 code="starting" if current is None else "stopping",
                 status=503,
-                retry_after=STARTING_SECONDS * (0.5 + self._random.random()),
+                retry_after=NOT_READY_RETRY_AFTER_SECONDS
+                * (0.5 + self._random.random()),
                 step="accept",
             )
-        if request.conn.overloaded or not self._overload.admits(self.count() - 1):
-            raise self._make_full()
+        if request.conn.overloaded or not self._overload.admits(
+            self.count_in_progress() - 1
+        ):
+            raise self._make_router_full_error()
         return current
 
-    def _note_refusal(
-        self, name: str, error: errors.RequestError, order: orders.Order | None = None
+    def _record_refusal(
+        self,
+        request_id: str,
+        error: errors.RequestError,
+        order: orders.Order | None = None,
     ) -> None:
-        """Count and log a refusal; without an order if it was not read whole."""
-        self._meters.count_refusal(error.code)
-        known: dict[str, object] = {}
+        """Count and log a refusal; the order is None if the request was not parsed."""
+        self._metrics.count_refusal(error.code)
+        details: dict[str, object] = {}
         if order is not None:
             took = time.monotonic() - order.received_at
-            known = {"account": order.account or "", "waited": round(took, 3)}
+            details = {"account": order.account or "", "waited": round(took, 3)}
         events.log(
             events.Event.REQUEST_REFUSED,
-            request=name,
+            request=request_id,
             status=error.status,
             code=error.code,
             outcome=error.outcome.value,
             retry_after=error.retry_after,
             error=str(error),
-            **known,
+            **details,
         )
 
     def _refuse(
         self,
         sink: callersinks.CallerSink,
-        name: str,
+        request_id: str,
         error: errors.RequestError,
         order: orders.Order | None = None,
     ) -> None:
-        self._note_refusal(name, error, order)
+        self._record_refusal(request_id, error, order)
         if sink.is_begun:
-            sink.cut()
+            sink.abort()
             return
         try:
-            refusals.write_refusal(sink, name, error)
+            refusals.write_refusal(sink, request_id, error)
         except OSError:
-            sink.cut()  # The caller has left; there is nobody to tell.
+            sink.abort()  # The caller has disconnected.
 
     def _measure_lateness(self) -> None:
-        """Note how much too long this thread sleeps: what all others suffer."""
+        """Measure how late this thread wakes up, as a sample for all threads.
+
+        The samples adjust the concurrency limit and this router's busy state.
+        """
         before, counted_at = self._overload.limit, float("-inf")
         while not self._stopped.is_set():
             began = time.monotonic()
             time.sleep(LATENESS_TICK_SECONDS)
             now = time.monotonic()
             late = now - began - LATENESS_TICK_SECONDS
-            self._overload.record(late, self.count(), now)
+            self._overload.record(late, self.count_in_progress(), now)
             if self._busyness.record(self._overload.lateness, now):
                 self._membership.set_busy(self._busyness.is_busy)
             limit = self._overload.limit
-            if limit != before or now - counted_at >= COUNT_SECONDS:
+            if limit != before or now - counted_at >= CONNECTION_COUNT_SECONDS:
                 counted_at = now
                 idle, busy = self._server.count_connections()
-                self._meters.set_connections(idle, busy, limit)
+                self._metrics.set_connections(idle, busy, limit)
             if limit < before:
                 events.log(
                     events.Event.REQUEST_LIMIT_LOWERED,
                     limit=limit,
-                    in_progress=self.count(),
+                    in_progress=self.count_in_progress(),
                     lateness=round(self._overload.lateness, 3),
                 )
             before = limit
@@ -331,6 +346,6 @@
         limits = current.limits
         self._server.max_request_header_size = limits.header_bytes
         self._server.max_request_body_size = limits.body_bytes
-        idle = limits.idle_seconds * IDLE_MARGIN + IDLE_MARGIN_SECONDS
-        # Never shorter than before: callers may go by an earlier version still.
+        idle = limits.idle_seconds * IDLE_TIMEOUT_FACTOR + IDLE_TIMEOUT_MARGIN_SECONDS
+        # The timeout is never lowered: callers may still use an earlier configuration.
         self._server.timeout = max(self._server.timeout, idle)
--- a/celeryspan/gateway/migrations.py
+++ b/celeryspan/gateway/migrations.py
@@ -1,7 +1,8 @@
 """The kernel service ``migrations``: stops runs and copies them to other engines.
 
-The home of a pool says which run moves and where to. The copy is made on a thread of
-its own; the thread that passes the stream on meets its end, and goes on at the target.
+The home router of a pool decides which run moves to which engine. A separate thread
+makes the copy. The thread that relays the stream reaches the end of the source's answer
+and resumes the run at the target.
 """
 
 from __future__ import annotations
@@ -19,19 +20,20 @@
     from celeryspan.gateway import budgets, places, serverlists
     from celeryspan.services import delivery
 
-COPY_SECONDS = 1.0
-"""Longest wait for a copy: one of 50,000 tokens takes 0.04 s, twice that to another
-data centre, and waits behind others."""
+COPY_TIMEOUT_SECONDS = 1.0
+"""Timeout for a copy. A copy of 50,000 tokens takes 0.04 s, or twice as long to another
+data centre, and may wait for other copies."""
 
 
 class Migration:
-    """One run on its way from one engine to another.
+    """The migration of one run from one engine to another.
 
     Attributes
     ----------
     source, target : ServerEntry
+        The engine that runs the request, and the one that is to resume it.
     copy : Copy or None
-        Set once the engines have answered, if the run was stopped.
+        The result of the source engine; None if the run was not stopped.
     """
 
     def __init__(
@@ -42,46 +44,46 @@
         self.copy: engines.RunCopy | None = None
         self._answered = threading.Event()
 
-    def settle(self, copy: engines.RunCopy | None) -> None:
-        """Note what the engines have answered."""
+    def set_result(self, copy: engines.RunCopy | None) -> None:
+        """Set the result and wake the waiting thread."""
         self.copy = copy
         self._answered.set()
 
-    def wait(self) -> engines.RunCopy | None:
-        """Wait for the answer."""
-        self._answered.wait(2 * COPY_SECONDS)
+    def wait_for_copy(self) -> engines.RunCopy | None:
+        """Wait for the result and return it."""
+        self._answered.wait(2 * COPY_TIMEOUT_SECONDS)
         return self.copy
 
 
 @kernel.register("migrations", needs=("budgets", "delivery", "places", "servers"))
 class Migrations:
-    """Carries out the moves that homes decide."""
+    """Executes the migrations that home routers request."""
 
     def __init__(self, box: kernel.Kernel) -> None:
-        self._budgets: budgets.Budgets = box.find("budgets")
+        self._budgets: budgets.RetryBudgets = box.find("budgets")
         self._delivery: delivery.DeliveryService = box.find("delivery")
         self._places: places.Places = box.find("places")
         self._servers: serverlists.ServersService = box.find("servers")
         self._client = engines.EngineClient()
 
     def start(self) -> None:
-        """Begin to take moves."""
-        self._delivery.subscribe(messages.RunMove, self._take)
+        """Subscribe to migration requests of home routers."""
+        self._delivery.subscribe(messages.RunMove, self._handle_move)
 
     def stop(self) -> None:
-        """Close the connections."""
+        """Close the connections to engines."""
         self._client.close()
 
     def take_copy(self, place: places.Place) -> Migration | None:
         """Return the migration of a run whose stream has ended, if it was stopped."""
         migration = place.migration
-        if migration is None or migration.wait() is None:
+        if migration is None or migration.wait_for_copy() is None:
             return None
         place.migration = None
         return migration
 
-    def drop(self, place: places.Place) -> None:
-        """Free a copy that nobody goes on with: its caller has left."""
+    def discard(self, place: places.Place) -> None:
+        """Free a copy that will not be resumed because the attempt has ended."""
         migration, place.migration = place.migration, None
         if migration is None:
             return
@@ -89,22 +91,22 @@
         if migration.copy is not None:
             self._client.release_copy(migration.source.address, migration.copy.handle)
 
-    def _take(
+    def _handle_move(
         self, home: ids.RouterId, _: ids.Incarnation, move: messages.RunMove
     ) -> None:
         place = self._places.find_held(move.request)
-        migration = self._begin(place, move) if place is not None else None
+        migration = self._start(place, move) if place is not None else None
         if place is None or migration is None:
-            stays = messages.RunMoved(
+            not_moved = messages.RunMoved(
                 move.request, move.pool, move.server, move.target, False
             )
-            self._delivery.send(home, stays)
+            self._delivery.send(home, not_moved)
             return
         threading.Thread(
             target=self._copy, args=(place, migration), name="move", daemon=True
         ).start()
 
-    def _begin(self, place: places.Place, move: messages.RunMove) -> Migration | None:
+    def _start(self, place: places.Place, move: messages.RunMove) -> Migration | None:
         usable = self._servers.usable()
         source, target = usable.get(move.server), usable.get(move.target)
         if place.server != move.server or place.migration is not None:
@@ -112,8 +114,8 @@
         if source is None or target is None:
             return None
         service, _, _ = shards.parse_pool(move.pool)
-        if not self._budgets.take(service):
-            return None  # The target counts one more arrival for this request.
+        if not self._budgets.try_take(service):
+            return None  # Counted as a retry: the target receives the request, too.
         place.migration = Migration(source, target)
         return place.migration
 
@@ -126,12 +128,12 @@
                 migration.source.server,
                 place.ask.request,
                 migration.target.address,
-                COPY_SECONDS,
+                COPY_TIMEOUT_SECONDS,
             )
         except errors.OutcomeUnknown as unknown:
-            # If the run was stopped its stream ends, and is lost as any other.
+            # If the run was stopped, its stream ends and is handled as a lost answer.
             copy, error = None, str(unknown)
-        migration.settle(copy)
+        migration.set_result(copy)
         events.log(
             events.Event.RUN_MOVED,
             request=place.ask.request,
--- a/celeryspan/gateway/replies.py
+++ b/celeryspan/gateway/replies.py
@@ -1,4 +1,4 @@
-"""The answer of a backend server: its head, and its body as it comes."""
+"""Answers of backend servers: the head, and the body as a stream."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 READ_BYTES = 65_536
 
 BODY_BYTES_MAX = 1_048_576
-"""Answers of plain services up to this size are read whole before the first byte is
-passed on, so that one that breaks off can be repeated or told as a failure."""
+"""Answers of plain services up to this size are read completely before any of it is
+forwarded, so that an answer that breaks off can be retried or reported as an error."""
 
 EVENT_END = b"\n\n"
 EVENT_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
@@ -27,7 +27,7 @@
     ----------
     status : int
     headers : list of (name, value)
-        Those that the caller gets.
+        Headers to forward to the caller.
     """
 
     def __init__(
@@ -45,80 +45,83 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the status says so."""
+        """Whether the status code is 2xx."""
         return 200 <= self.status < 300
 
     @property
     def is_not_run(self) -> bool:
-        """Whether the server says that it did not run the request."""
+        """Whether the server states that it did not run the request."""
         return self.status == 421 or self._answer.getheader(names.NOT_RUN) is not None
 
     @property
     def is_signed(self) -> bool:
-        """Whether the server's signature is there."""
+        """Whether the answer has the server's signature header."""
         return bool(self._answer.getheader(names.SIGNATURE))
 
     def read(self) -> Iterator[bytes]:
-        """Yield the body as it comes; ends only if it is whole.
+        """Yield the body as it arrives; returns only after the complete body.
 
         Raises
         ------
         backend.AnswerLost
-            If the connection breaks, or the time is over.
+            If the connection fails or the deadline passes.
         """
         try:
             while True:
-                self._channel.limit(self._order.deadline)
+                self._channel.set_read_deadline(self._order.deadline)
                 piece = self._answer.read1(READ_BYTES)
                 if not piece:
                     break
                 yield piece
-        except channels.FAULTS as error:
-            raise self.make_lost(error) from error
+        except channels.CONNECTION_ERRORS as error:
+            raise self.make_answer_lost(error) from error
         if self._answer.length:
-            raise self.make_lost("the body is shorter than announced")
-        self._channel.note_answer(self._answer)
+            raise self.make_answer_lost("the body is shorter than its Content-Length")
+        self._channel.update_keep_alive(self._answer)
 
     def read_whole(self) -> bytes:
-        """Return the body; raises backend.AnswerLost."""
+        """Return the complete body; raises backend.AnswerLost."""
         return b"".join(self.read())
 
-    def read_events(self, last_event: str) -> Iterator[Event]:
-        """Yield whole events above an id, as they come.
+    def read_events(self, last_event: str) -> Iterator[EventBlock]:
+        """Yield complete events with an id above ``last_event`` as they arrive.
 
-        Part of an event is held back until its end: a server may stop in its middle,
-        and the next one sends it from its beginning.
+        A partial event is buffered until its end: if a server fails in the middle of an
+        event, the next server sends the event from its start.
         """
-        above = _parse_number(last_event)
-        rest = b""
+        last_number = _parse_number(last_event)
+        buffer = b""
         for piece in self.read():
-            rest += piece
-            end = rest.rfind(EVENT_END)
+            buffer += piece
+            end = buffer.rfind(EVENT_END)
             if end < 0:
                 continue
-            block, rest = rest[: end + len(EVENT_END)], rest[end + len(EVENT_END) :]
-            event = _cut_known(block, above)
+            block, buffer = (
+                buffer[: end + len(EVENT_END)],
+                buffer[end + len(EVENT_END) :],
+            )
+            event = _drop_delivered(block, last_number)
             if event is not None:
                 yield event
-        if rest:
-            yield Event(rest, "")
+        if buffer:
+            yield EventBlock(buffer, "")
 
-    def make_lost(self, reason: object) -> backend.AnswerLost:
-        """Return the error of an answer that is not whole."""
+    def make_answer_lost(self, reason: object) -> backend.AnswerLost:
+        """Return the error for an incomplete answer."""
         return backend.AnswerLost(
-            f"no whole answer: {reason!r}",
+            f"incomplete answer: {reason!r}",
             step="read answer",
             peer=self._channel.server,
         )
 
 
-class Event:
-    """One or more whole events of a stream.
+class EventBlock:
+    """One or more complete events of a stream.
 
     Attributes
     ----------
     last_id : str
-        Id of the last of them, or the empty text.
+        The last event id in the block; empty if there is none.
     """
 
     __slots__ = ("data", "last_id")
@@ -128,18 +131,19 @@
         self.last_id = last_id
 
 
-def _cut_known(block: bytes, above: int | None) -> Event | None:
-    """Return a block without events that were passed on before, or None."""
-    if above is not None:
-        kept = [
+def _drop_delivered(block: bytes, last_number: int | None) -> EventBlock | None:
+    """Return a block without events that were delivered before; None if empty."""
+    if last_number is not None:
+        new_events = [
             event
             for event in block.split(EVENT_END)[:-1]
-            if (number := _parse_number(_find_id(event))) is None or number > above
+            if (number := _parse_number(_find_id(event))) is None
+            or number > last_number
         ]
-        if not kept:
+        if not new_events:
             return None
-        block = EVENT_END.join(kept) + EVENT_END
-    return Event(block, _find_id(block))
+        block = EVENT_END.join(new_events) + EVENT_END
+    return EventBlock(block, _find_id(block))
 
 
 def _find_id(block: bytes) -> str:
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -1,7 +1,7 @@
-"""The kernel service ``sender``: one request at one backend server, and its answer.
+"""The kernel service ``sender``: sends requests to backend servers and relays answers.
 
-Sends a request on an open channel, checks the head of the answer, passes streams on.
-A run that was stopped to be moved goes on here at the engine that has its copy.
+It sends a request on an open channel, checks the head of the answer and relays streams.
+It also resumes a run that was stopped for a migration, at the engine with the copy.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     ),
 )
 class Sender:
-    """Carries a request to one server and its answer back."""
+    """Sends requests to a single server and relays streamed answers."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._channels: channels.Channels = box.find("channels")
@@ -48,10 +48,10 @@
         self._servers: serverlists.ServersService = box.find("servers")
 
     def start(self) -> None:
-        """Nothing to begin."""
+        """Do nothing: the service has no background work."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: the service holds no resources."""
 
     def send(
         self,
@@ -68,28 +68,28 @@
         Parameters
         ----------
         until : float
-            Until when the head must have come, on the monotonic clock.
+            Monotonic deadline for the head of the answer, in seconds.
         moved_from : str
-            Names the copy of a run that the server is to go on with.
+            Name of the copied run that the server is to resume; empty for a new run.
         source : ServerId, optional
-            Another server, from which it is to copy kept parts of the prompt.
+            Another server from which cached parts of the prompt are to be copied.
 
         Raises
         ------
         backend.Declined
-            If the server says that it did not run it.
+            If the server states that it did not run the request.
         backend.AnswerLost
-            If there is no answer that may be passed on.
+            If there is no valid answer.
         """
-        left = order.left()
-        keeper = self._servers.usable().get(source) if source else None
-        head = write_head(
+        left = order.remaining_seconds()
+        cache_source = self._servers.usable().get(source) if source else None
+        head = _format_request_head(
             order,
             server,
             left,
             progress.last_event,
             moved_from,
-            str(keeper.address) if keeper else "",
+            str(cache_source.address) if cache_source else "",
         )
         events.log(
             events.Event.REQUEST_SENT,
@@ -100,20 +100,20 @@
             left=round(left, 3),
             reused=not channel.is_new,
         )
-        progress.note_sent(time.monotonic())
+        progress.record_send(time.monotonic())
         try:
             channel.send(head + order.body, until)
             answer = channel.receive(order.method, order.request, until)
-        except channels.FAULTS as error:
+        except channels.CONNECTION_ERRORS as error:
             progress.timed_out = time.monotonic() >= order.deadline
             raise backend.AnswerLost(
                 f"no answer: {error!r}", step="read answer", peer=server
             ) from error
         reply = replies.Reply(order, channel, answer)
-        self._check(reply, server)
+        self._check_reply(reply, server)
         return reply
 
-    def _check(self, reply: replies.Reply, server: ids.ServerId) -> None:
+    def _check_reply(self, reply: replies.Reply, server: ids.ServerId) -> None:
         if reply.is_not_run:
             is_gone = reply.status == 421
             if is_gone:
@@ -122,12 +122,12 @@
                 f"status {reply.status}", leaving=is_gone, step="send", peer=server
             )
         if reply.is_success and not reply.is_signed:
-            # Without the signature nobody can tell it from bytes that went astray.
+            # An unsigned success may be unrelated data from another process.
             raise backend.AnswerLost(
-                "a success without signature", step="read answer", peer=server
+                "success without a server signature", step="read answer", peer=server
             )
 
-    def pass_stream(
+    def relay_stream(
         self,
         order: orders.Order,
         place: places.Place,
@@ -135,9 +135,9 @@
         reply: replies.Reply,
         sink: orders.Sink,
     ) -> None:
-        """Pass a stream on, event by event; raises backend.AnswerLost."""
+        """Relay a stream event by event; raises backend.AnswerLost."""
         for event in reply.read_events(progress.last_event):
-            progress.note_event(time.monotonic())
+            progress.record_event(time.monotonic())
             if not place.is_begun:
                 self._places.begin(place)
             if not progress.is_answering:
@@ -161,10 +161,10 @@
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
-        """Resume a run that was stopped to be moved; returns whether it has ended.
+        """Resume a run that was stopped for a migration; returns whether it completed.
 
-        If the engine that has the copy does not take it, the one that was stopped
-        resumes it: it keeps what it has read.
+        If the target engine does not resume the copy, the source engine is asked to
+        resume the run: it keeps the run's state.
         """
         migration = self._migrations.take_copy(place)
         if migration is None or migration.copy is None:
@@ -178,15 +178,15 @@
                 )
             except backend.AnswerLost as lost:
                 self._crashwatch.note_loss(order, entry, progress, lost)
-                log_resumption(order, progress, entry.server, str(lost))
+                _log_resumption(order, progress, entry.server, str(lost))
                 continue
             except (backend.Declined, errors.NotRun) as error:
-                log_resumption(order, progress, entry.server, str(error))
+                _log_resumption(order, progress, entry.server, str(error))
                 continue
             is_moved = entry is target
             self._places.settle_migration(place, target.server, is_moved=is_moved)
-            log_resumption(order, progress, entry.server, "")
-            return self._pass_rest(order, place, progress, reply, channel, sink)
+            _log_resumption(order, progress, entry.server, "")
+            return self._relay_rest(order, place, progress, reply, channel, sink)
         self._places.settle_migration(place, target.server, is_moved=False)
         return False
 
@@ -197,19 +197,19 @@
         progress: requestprogress.Progress,
         moved_from: str,
     ) -> tuple[replies.Reply, channels.Channel]:
-        """Ask one engine to go on with a run; returns the head of its answer.
+        """Ask an engine to resume a run; returns its answer's head and the channel.
 
         Raises
         ------
         errors.NotRun
-            If the engine can't be reached, or the request is in quarantine by now.
+            If the engine is unreachable, or the request was quarantined meanwhile.
         backend.Declined, backend.AnswerLost
-            If it does not go on.
+            If the engine does not resume the run.
         """
         self._quarantine.check(order, progress)
-        channel = self._channels.open(entry, once_only=True)
+        channel = self._channels.open(entry, at_most_once=True)
         self._quarantine.note_sent(order, progress)
-        order.presence.watch(channel.make_abort())
+        order.presence.watch(channel.make_abort_callback())
         try:
             reply = self.send(
                 order, entry.server, progress, channel, order.deadline, moved_from
@@ -223,7 +223,7 @@
             raise
         return reply, channel
 
-    def _pass_rest(
+    def _relay_rest(
         self,
         order: orders.Order,
         place: places.Place,
@@ -232,29 +232,29 @@
         channel: channels.Channel,
         sink: orders.Sink,
     ) -> bool:
-        """Pass on the rest of a stream; returns whether it has ended."""
+        """Relay the rest of a stream; returns whether it completed."""
         is_whole = False
         try:
-            self.pass_stream(order, place, progress, reply, sink)
+            self.relay_stream(order, place, progress, reply, sink)
             is_whole = True
         except backend.AnswerLost as lost:
             self._crashwatch.note_loss(order, channel.entry, progress, lost)
-            log_resumption(order, progress, channel.server, str(lost))
+            _log_resumption(order, progress, channel.server, str(lost))
         finally:
             if is_whole:
-                self._channels.keep(channel)
+                self._channels.release(channel)
             else:
                 channel.close()
         return is_whole
 
 
-def log_resumption(
+def _log_resumption(
     order: orders.Order,
     progress: requestprogress.Progress,
     server: ids.ServerId,
     error: str,
 ) -> None:
-    """Log that a stream goes on at a server, or why it does not."""
+    """Log that a server resumes a stream, or the error that prevents it."""
     events.log(
         events.Event.STREAM_RESUMED,
         request=order.request,
@@ -264,7 +264,7 @@
     )
 
 
-def write_head(
+def _format_request_head(
     order: orders.Order,
     server: ids.ServerId,
     left: float,
@@ -272,7 +272,7 @@
     moved_from: str = "",
     fetched_from: str = "",
 ) -> bytes:
-    """Return the head of a request as one server gets it."""
+    """Return the request line and headers for one server."""
     headers = requests.write_headers(
         order.incoming,
         server=server,
@@ -289,8 +289,8 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def write_whole(sink: orders.Sink, reply: replies.Reply, body: bytes) -> None:
-    """Write an answer whose body is there."""
+def write_reply(sink: orders.Sink, reply: replies.Reply, body: bytes) -> None:
+    """Write an answer whose body was read completely."""
     headers = [
         (name, value)
         for name, value in reply.headers
--- a/tests/gateway/test_channels.py
+++ b/tests/gateway/test_channels.py
@@ -1,4 +1,4 @@
-"""Idle connections to backend servers, within what the process may have open."""
+"""Limits on idle connections to backend servers."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from celeryspan import catalog, ids, kernel
 from celeryspan.gateway import channels, settings
 
-DESCRIPTORS = 100
-"""Room for 15 idle connections to backend servers."""
+DESCRIPTORS_MAX = 100
+"""File descriptor limit that leaves 15 idle connections to backend servers."""
 
 SERVERS = 40
 
@@ -34,13 +34,13 @@
         directory_address="127.0.0.1:4",
         store_address="127.0.0.1:5",
         fleet_keys=("test",),
-        descriptors_max=DESCRIPTORS,
+        descriptors_max=DESCRIPTORS_MAX,
     )
     return channels.Channels(kernel.Kernel(values))
 
 
-def make_idle(stack: contextlib.ExitStack, server: str) -> channels.Channel:
-    """Return a connection whose last answer has been read."""
+def make_answered_channel(stack: contextlib.ExitStack, server: str) -> channels.Channel:
+    """Return a connection that may be returned to the pool."""
     near, far = socket.socketpair()
     stack.enter_context(far)
     entry = catalog.ServerEntry(
@@ -54,33 +54,33 @@
     )
     channel = channels.Channel(entry, near)
     stack.callback(channel.close)
-    channel.kept_until = time.monotonic() + 60
+    channel.reusable_until = time.monotonic() + 60
     return channel
 
 
-def test_idle_connections_to_many_servers_stay_within_the_budget(stack) -> None:
-    """A router sends to hundreds of servers and keeps some connections to each.
+def test_idle_connections_to_many_servers_stay_within_the_limit(stack) -> None:
+    """A router keeps idle connections to each of hundreds of servers.
 
-    Their number had no bound over all servers: with enough of them the process has no
-    descriptor left, and neither callers nor the directory are answered.
+    Without a limit on their total number the process runs out of file descriptors, and
+    neither callers nor requests to the directory are answered.
     """
-    kept = make_channels()
-    used = [make_idle(stack, f"gate-{number}") for number in range(SERVERS)]
+    pool = make_channels()
+    used = [make_answered_channel(stack, f"gate-{number}") for number in range(SERVERS)]
     for channel in used:
-        kept.keep(channel)
-    still_open = [channel for channel in used if channel.is_clean()]
+        pool.release(channel)
+    still_open = [channel for channel in used if channel.is_reusable()]
     assert len(still_open) == 15
-    assert still_open == used[-15:], "the longest idle are to go first"
+    assert still_open == used[-15:], "the longest idle must be closed first"
 
 
-def test_connection_taken_again_counts_as_used(stack) -> None:
-    kept = make_channels()
-    first = make_idle(stack, "gate-0")
-    kept.keep(first)
+def test_reused_connection_counts_as_recently_used(stack) -> None:
+    pool = make_channels()
+    first = make_answered_channel(stack, "gate-0")
+    pool.release(first)
     for number in range(1, 15):
-        kept.keep(make_idle(stack, f"gate-{number}"))
-    taken = kept.open(first.entry, once_only=False)
+        pool.release(make_answered_channel(stack, f"gate-{number}"))
+    taken = pool.open(first.entry, at_most_once=False)
     assert taken is first
-    kept.keep(first)
-    kept.keep(make_idle(stack, "gate-99"))
-    assert first.is_clean()
+    pool.release(first)
+    pool.release(make_answered_channel(stack, "gate-99"))
+    assert first.is_reusable()
