--- a/tests/gateway/test_carrier.py
+++ b/tests/gateway/test_carrier.py
@@ -201,7 +201,8 @@
     server = place.add_server("gate-1")
     router = place.start_router()
     front, carrier = router.box.find("front"), router.box.find("carrier")
-    front._server.close_watcher.add = lambda *_: None  # Closed connections are not detected.
+    # Closed connections are not detected.
+    front._server.close_watcher.add = lambda *_: None
     original_open, left = carrier._open_channel, threading.Event()
 
     def open_late(order, found, progress):
