--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -317,10 +317,10 @@
 
         One that is suspected waits for that before it may be sent again.
         """
-        self._crashwatch.note_loss(order, channel.entry, progress, lost)
+        self._crashwatch.record_loss(order, channel.entry, progress, lost)
         standing = self._quarantine.find_standing(order, progress)
         if standing is not quarantine.Standing.CLEAR:
-            self._crashwatch.wait_settled(channel.entry)
+            self._crashwatch.wait_for_probe(channel.entry)
 
     def _give_failure(
         self, order: orders.Order, progress: requestprogress.Progress, sink: orders.Sink
--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -1,7 +1,7 @@
-"""The kernel service ``crashwatch``: finds out which servers crashed under their runs.
+"""The kernel service ``crashwatch``: detects servers that crash during runs.
 
-A server under which a run was lost is asked for a connection, once for all runs that
-are lost at about the same time; a task of its own does it, so that no caller waits.
+When a run is lost, its server is probed with a connection attempt, once for all runs
+lost at about the same time. A separate thread probes, so that no caller waits for it.
 """
 
 from __future__ import annotations
@@ -20,24 +20,25 @@
 if TYPE_CHECKING:
     from celeryspan.gateway import orders, requestprogress, serverlists
 
-GATHER_SECONDS = 0.02
-"""Runs of a crashed server meet the end of their connections within this time."""
+PROBE_DELAY_SECONDS = 0.02
+"""Time before a probe, within which all runs of a crashed server lose their
+connections."""
 
-PROBE_SECONDS = 0.25
-"""Wait for a connection: a server that lives accepts within milliseconds."""
+CONNECT_TIMEOUT_SECONDS = 0.25
+"""Timeout of a probe: a running server accepts within milliseconds."""
 
-PROBES_MAX = 8
-"""Servers asked at a time; the others are judged by their entries."""
+CONCURRENT_PROBES_MAX = 8
+"""Servers probed at a time; for the others only their entries give evidence."""
 
-NAMED_MAX = 8
-"""Fingerprints named in one line of the log."""
+LOGGED_FINGERPRINTS_MAX = 8
+"""Maximum number of fingerprints in one log line."""
 
 Handler = Callable[[crashes.Crash], None]
 
 
 @kernel.register("crashwatch", needs=("servers",))
 class CrashWatch:
-    """Notes lost runs, and tells of servers that crashed."""
+    """Records lost runs and reports the servers that crashed under them."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._servers: serverlists.ServersService = box.find("servers")
@@ -48,24 +49,24 @@
         self._handlers: list[Handler] = []
 
     def start(self) -> None:
-        """Begin to follow the entries of servers."""
-        self._servers.subscribe(lambda _: self._follow_entries())
+        """Subscribe to changes of the server entries."""
+        self._servers.subscribe(lambda _: self._check_entries())
 
     def stop(self) -> None:
         """Do nothing: probes end by themselves."""
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with each crash under which runs of this router were lost."""
+        """Register a handler for crashes in which runs of this router were lost."""
         self._handlers.append(handler)
 
-    def find_scope(self, order: orders.Order) -> int:
-        """Return the hash of what stands before the body of a request."""
+    def compute_scope(self, order: orders.Order) -> int:
+        """Return the hash of a request's host, target and client account."""
         return self._fingerprinter.compute_scope(
             order.route.host, order.target, order.account or ""
         )
 
-    def make_fingerprint(self, order: orders.Order) -> fingerprints.Fingerprint:
-        """Return what identifies a request beside its id."""
+    def compute_fingerprint(self, order: orders.Order) -> fingerprints.Fingerprint:
+        """Return the fingerprint of a request, which does not depend on its id."""
         return self._fingerprinter.compute(
             order.route.host,
             order.target,
@@ -74,14 +75,18 @@
             order.body,
         )
 
-    def note_loss(
+    def record_loss(
         self,
         order: orders.Order,
         entry: catalog.ServerEntry,
         progress: requestprogress.Progress,
         lost: backend.AnswerLost,
     ) -> None:
-        """Note that a run has lost its connection; timeouts tell nothing."""
+        """Record a run whose connection was lost.
+
+        Timeouts and runs whose caller has left are ignored: they say nothing about the
+        server.
+        """
         if _is_timeout(lost) or order.presence.gone:
             return
         now = time.monotonic()
@@ -89,7 +94,7 @@
         run = crashes.LostRun(
             request=order.request,
             entry=entry,
-            fingerprint=progress.fingerprint or self.make_fingerprint(order),
+            fingerprint=progress.fingerprint or self.compute_fingerprint(order),
             seconds=now - since,
             is_begun=progress.begun_at is not None,
             trial=progress.strikes + 1,
@@ -105,22 +110,22 @@
             error=str(lost),
         )
         if entry.server not in self._servers.usable():
-            return  # It leaves, and ends when it has finished.
+            return  # The server is leaving and stops once its runs have ended.
         with self._lock:
             crash = self._detector.add_loss(run, now)
             if crash is None:
-                self._begin_probe(entry)
+                self._start_probe(entry)
         self._publish(crash)
 
-    def wait_settled(self, entry: catalog.ServerEntry) -> None:
-        """Wait until it is known whether a server has crashed, if it is being asked."""
+    def wait_for_probe(self, entry: catalog.ServerEntry) -> None:
+        """Wait for the result of a server's probe if one is in progress."""
         with self._lock:
-            probe = self._probes.get(crashes.format_incarnation(entry))
-        if probe is not None:
-            probe.wait(GATHER_SECONDS + 2 * PROBE_SECONDS)
+            probe_done = self._probes.get(crashes.format_incarnation(entry))
+        if probe_done is not None:
+            probe_done.wait(PROBE_DELAY_SECONDS + 2 * CONNECT_TIMEOUT_SECONDS)
 
     def confirm(self, name: str) -> None:
-        """Take in that a server has crashed, by the word of another router."""
+        """Record a crash of a server incarnation that another router reports."""
         with self._lock:
             if not self._detector.is_pending(name):
                 return
@@ -128,12 +133,12 @@
             crash = self._detector.confirm(name, evidence, time.monotonic())
         self._publish(crash)
 
-    def _begin_probe(self, entry: catalog.ServerEntry) -> None:
-        """Ask a server for a connection unless it is being asked; holds the lock."""
+    def _start_probe(self, entry: catalog.ServerEntry) -> None:
+        """Probe a server unless a probe is in progress; the caller holds the lock."""
         name = crashes.format_incarnation(entry)
         if not self._detector.is_pending(name):
             return
-        if name in self._probes or len(self._probes) >= PROBES_MAX:
+        if name in self._probes or len(self._probes) >= CONCURRENT_PROBES_MAX:
             return
         self._probes[name] = threading.Event()
         threading.Thread(
@@ -141,12 +146,12 @@
         ).start()
 
     def _probe(self, entry: catalog.ServerEntry, name: str) -> None:
-        time.sleep(GATHER_SECONDS)
+        time.sleep(PROBE_DELAY_SECONDS)
         crash = None
         try:
-            is_refused = probe_refused(entry.address)
+            is_refused = is_connection_refused(entry.address)
         except TimeoutError:
-            pass  # Nobody knows; the entry will tell.
+            pass  # Inconclusive; the server's entry will decide.
         else:
             now = time.monotonic()
             with self._lock:
@@ -159,10 +164,10 @@
             self._publish(crash)
         finally:
             with self._lock:
-                settled = self._probes.pop(name)
-            settled.set()
+                probe_done = self._probes.pop(name)
+            probe_done.set()
 
-    def _follow_entries(self) -> None:
+    def _check_entries(self) -> None:
         with self._lock:
             found = self._detector.check_entries(self._servers.find, time.monotonic())
         for crash in found:
@@ -171,18 +176,19 @@
     def _publish(self, crash: crashes.Crash | None) -> None:
         if crash is None:
             return
+        logged_runs = crash.runs[:LOGGED_FINGERPRINTS_MAX]
         events.log(
             events.Event.SERVER_CRASHED,
             server=crash.server,
             evidence=crash.evidence.value,
             runs=len(crash.runs),
-            fingerprints=[str(run.fingerprint) for run in crash.runs[:NAMED_MAX]],
+            fingerprints=[str(run.fingerprint) for run in logged_runs],
         )
         for handler in self._handlers:
             handler(crash)
 
 
-def probe_refused(address: ids.Address) -> bool:
+def is_connection_refused(address: ids.Address) -> bool:
     """Return whether a server refuses connections.
 
     Raises
@@ -191,7 +197,9 @@
         If it neither accepts nor refuses.
     """
     try:
-        urllib3_connection.create_connection(tuple(address), PROBE_SECONDS).close()
+        urllib3_connection.create_connection(
+            tuple(address), CONNECT_TIMEOUT_SECONDS
+        ).close()
     except (ConnectionRefusedError, ConnectionResetError):
         return True
     except OSError as error:
--- a/celeryspan/gateway/quarantines.py
+++ b/celeryspan/gateway/quarantines.py
@@ -151,9 +151,9 @@
         if known.is_empty:
             return quarantine.Standing.CLEAR
         if progress.fingerprint is None:
-            if not known.may_be_suspect(self._crashwatch.find_scope(order)):
+            if not known.may_be_suspect(self._crashwatch.compute_scope(order)):
                 return quarantine.Standing.CLEAR
-            progress.fingerprint = self._crashwatch.make_fingerprint(order)
+            progress.fingerprint = self._crashwatch.compute_fingerprint(order)
         return known.find_standing(progress.fingerprint.whole)
 
     def check(self, order: orders.Order, progress: requestprogress.Progress) -> None:
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -177,7 +177,7 @@
                     order, entry, progress, moved_from
                 )
             except backend.AnswerLost as lost:
-                self._crashwatch.note_loss(order, entry, progress, lost)
+                self._crashwatch.record_loss(order, entry, progress, lost)
                 log_resumption(order, progress, entry.server, str(lost))
                 continue
             except (backend.Declined, errors.NotRun) as error:
@@ -238,7 +238,7 @@
             self.pass_stream(order, place, progress, reply, sink)
             is_whole = True
         except backend.AnswerLost as lost:
-            self._crashwatch.note_loss(order, channel.entry, progress, lost)
+            self._crashwatch.record_loss(order, channel.entry, progress, lost)
             log_resumption(order, progress, channel.server, str(lost))
         finally:
             if is_whole:
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -265,8 +265,8 @@
     router = place.start_router()
     watch = router.box.find("crashwatch")
     hashed: list[object] = []
-    monkeypatch.setattr(watch, "find_scope", hashed.append)
-    monkeypatch.setattr(watch, "make_fingerprint", hashed.append)
+    monkeypatch.setattr(watch, "compute_scope", hashed.append)
+    monkeypatch.setattr(watch, "compute_fingerprint", hashed.append)
     for number in range(5):
         assert router.call("/bookings/1", f"r{number}").status == 200
     assert hashed == []
