--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -64,7 +64,7 @@
         self._catalogues: catalogues.CataloguesService = box.find("catalogues")
         self._channels: channels.Channels = box.find("channels")
         self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
-        self._places: places.Places = box.find("places")
+        self._places: places.SlotClient = box.find("places")
         self._quarantine: quarantines.QuarantineService = box.find("quarantine")
         self._budgets: budgets.Budgets = box.find("budgets")
         self._migrations: migrations.Migrations = box.find("migrations")
@@ -115,7 +115,7 @@
 
     def _find_place(
         self, order: orders.Order, progress: requestprogress.Progress
-    ) -> places.Place | None:
+    ) -> places.Slot | None:
         """Return a place, or None if a server's own failure is the best answer."""
         order.presence.watch(lambda: self._places.cancel(order.request))
         try:
@@ -162,7 +162,7 @@
     def _try_once(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
@@ -213,7 +213,7 @@
     def _connect(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
     ) -> channels.Channel | None:
         """Return a channel, or None if another server is to be tried."""
@@ -246,7 +246,7 @@
     def _check_wanted(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         channel: channels.Channel,
     ) -> None:
@@ -277,7 +277,7 @@
             raise
         self._quarantine.note_sent(order, progress)
 
-    def _give_back(self, place: places.Place, channel: channels.Channel) -> None:
+    def _give_back(self, place: places.Slot, channel: channels.Channel) -> None:
         """Close a connection on which nothing was sent, and free its place."""
         channel.close()
         self._places.end(place, states.RunEnding.UNUSED)
@@ -285,7 +285,7 @@
     def _pass_on(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         reply: replies.Reply,
         sink: orders.Sink,
--- a/celeryspan/gateway/migrations.py
+++ b/celeryspan/gateway/migrations.py
@@ -60,7 +60,7 @@
     def __init__(self, box: kernel.Kernel) -> None:
         self._budgets: budgets.Budgets = box.find("budgets")
         self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._places: places.Places = box.find("places")
+        self._places: places.SlotClient = box.find("places")
         self._servers: serverlists.ServersService = box.find("servers")
         self._client = engines.EngineClient()
 
@@ -72,7 +72,7 @@
         """Close the connections."""
         self._client.close()
 
-    def take_copy(self, place: places.Place) -> Migration | None:
+    def take_copy(self, place: places.Slot) -> Migration | None:
         """Return the migration of a run whose stream has ended, if it was stopped."""
         migration = place.migration
         if migration is None or migration.wait() is None:
@@ -80,7 +80,7 @@
         place.migration = None
         return migration
 
-    def drop(self, place: places.Place) -> None:
+    def drop(self, place: places.Slot) -> None:
         """Free a copy that nobody goes on with: its caller has left."""
         migration, place.migration = place.migration, None
         if migration is None:
@@ -92,7 +92,7 @@
     def _take(
         self, home: ids.RouterId, _: ids.Incarnation, move: messages.RunMove
     ) -> None:
-        place = self._places.find_held(move.request)
+        place = self._places.find_slot(move.request)
         migration = self._begin(place, move) if place is not None else None
         if place is None or migration is None:
             stays = messages.RunMoved(
@@ -104,7 +104,7 @@
             target=self._copy, args=(place, migration), name="move", daemon=True
         ).start()
 
-    def _begin(self, place: places.Place, move: messages.RunMove) -> Migration | None:
+    def _begin(self, place: places.Slot, move: messages.RunMove) -> Migration | None:
         usable = self._servers.usable()
         source, target = usable.get(move.server), usable.get(move.target)
         if place.server != move.server or place.migration is not None:
@@ -117,7 +117,7 @@
         place.migration = Migration(source, target)
         return place.migration
 
-    def _copy(self, place: places.Place, migration: Migration) -> None:
+    def _copy(self, place: places.Slot, migration: Migration) -> None:
         began = time.monotonic()
         error = ""
         try:
--- a/celeryspan/gateway/places.py
+++ b/celeryspan/gateway/places.py
@@ -1,8 +1,8 @@
-"""The kernel service ``places``: asks the homes of pools for places at servers.
+"""The kernel service ``places``: requests slots at servers from the homes of pools.
 
-One thread a request waits here. If the home of its pool dies or says nothing, the
-request is asked of the next one, and runs in progress are told to it, so that a pool
-is without a decision for no longer than its home's silence takes to show.
+The thread of each request waits here for its slot. If the home of its pool dies or goes
+silent, waiting requests are sent to the next home, which is also told of the runs in
+progress. A pool is thus without decisions for at most the timeout of its home.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 
 TICK_SECONDS = 0.05
 
-SILENT_SECONDS = 0.6
-"""A home that has said nothing of a waiting request for this long is passed over:
-three of its signs of life."""
+HOME_TIMEOUT_SECONDS = 0.6
+"""Time without a message about a waiting request after which its home is excluded:
+three times the interval of the home's ``QueueAlive`` messages."""
 
-MOVE_SECONDS = 0.1
-"""How long a request waits in one pool before another one is looked for: the time in
-which most requests get their place."""
+SWITCH_INTERVAL_SECONDS = 0.1
+"""How long a request waits in one pool before another one is considered: most requests
+get a slot within this time."""
 
-MOVES_MAX = 2
-"""Pools that a request may leave for a better one: its time is spent on its way."""
+SWITCHES_MAX = 2
+"""How often a request may switch to a better pool, since each switch costs it time."""
 
-LATE_SECONDS = 0.3
-"""How long after its time a request is refused here if no home has done so."""
+REFUSAL_GRACE_SECONDS = 0.3
+"""How long after its timeout a request is refused here if no home has refused it."""
 
 
-class Place(msgspec.Struct):
-    """Leave to send one request to one server.
+class Slot(msgspec.Struct):
+    """A slot at a server, granted to one request.
 
     Attributes
     ----------
     home : RouterId
-        Who must hear of its end.
-    source : ServerId
-        A server from which kept parts of the prompt are copied, if there is one.
+        The router to notify when the run ends.
+    source : ServerId or None
+        The server to copy cached parts of the prompt from.
     """
 
     ask: messages.SlotRequest
@@ -62,17 +62,17 @@
 class _Waiter(msgspec.Struct):
     ask: messages.SlotRequest
     home: ids.RouterId
-    asked_at: float
-    heard_at: float
-    moves: int = 0
+    requested_at: float
+    last_heard_at: float
+    switches: int = 0
     ready: threading.Event = msgspec.field(default_factory=threading.Event)
-    place: Place | None = None
+    slot: Slot | None = None
     error: errors.NotRun | None = None
 
 
 @kernel.register("places", needs=("delivery", "identity", "poolmap"))
-class Places:
-    """Waits for places, and tells their homes what becomes of them."""
+class SlotClient:
+    """Waits for slots and reports the progress of runs to the homes of their pools."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._delivery: delivery.DeliveryService = box.find("delivery")
@@ -80,23 +80,23 @@
         self._map: poolmap.PoolMap = box.find("poolmap")
         self._lock = threading.Lock()
         self._waiters: dict[ids.RequestId, _Waiter] = {}
-        self._held: dict[ids.RequestId, Place] = {}
+        self._slots: dict[ids.RequestId, Slot] = {}
         self._stopped = threading.Event()
-        self._some = threading.Event()
+        self._has_waiters = threading.Event()
         self._thread = threading.Thread(target=self._run, name="places", daemon=True)
 
     def start(self) -> None:
-        """Begin to take offers."""
-        self._delivery.subscribe(messages.SlotOffer, self._take_offer)
-        self._delivery.subscribe(messages.SlotRefusal, self._take_refusal)
-        self._delivery.subscribe(messages.QueueAlive, self._take_alive)
-        self._map.subscribe(lambda: self._move(time.monotonic()))
+        """Subscribe to the messages of pool homes and start the timeout thread."""
+        self._delivery.subscribe(messages.SlotOffer, self._handle_offer)
+        self._delivery.subscribe(messages.SlotRefusal, self._handle_refusal)
+        self._delivery.subscribe(messages.QueueAlive, self._handle_queue_alive)
+        self._map.subscribe(lambda: self._update_homes(time.monotonic()))
         self._thread.start()
 
     def stop(self) -> None:
-        """Refuse whoever still waits."""
+        """Refuse all waiting requests."""
         self._stopped.set()
-        self._some.set()
+        self._has_waiters.set()
         self._thread.join()
         with self._lock:
             waiters, self._waiters = self._waiters, {}
@@ -104,16 +104,16 @@
             self._refuse(waiter, make_refusal("router-stopping", 0.1))
 
     def report(self) -> dict[str, object]:
-        """Return how much waits and runs, for the operator."""
-        return {"waiting": len(self._waiters), "held": len(self._held)}
+        """Return the number of waiting requests and of slots in use, for operators."""
+        return {"waiting": len(self._waiters), "held": len(self._slots)}
 
-    def acquire(self, service: ids.ServiceId, ask: messages.SlotRequest) -> Place:
-        """Wait for a place at a server of a service; the pool is found here.
+    def acquire(self, service: ids.ServiceId, ask: messages.SlotRequest) -> Slot:
+        """Choose a pool of a service and wait for a slot at one of its servers.
 
         Raises
         ------
         errors.NotRun
-            If there is none in time, or the caller has left.
+            If no slot is free in time, or the caller has left.
         """
         now = time.monotonic()
         pool = self._map.choose_pool(service, ask, now)
@@ -121,20 +121,20 @@
         waiter = _Waiter(ask, self._map.find_home(pool), now, now)
         with self._lock:
             self._waiters[ask.request] = waiter
-            self._some.set()
+            self._has_waiters.set()
         self._delivery.send(waiter.home, ask)
         waiter.ready.wait()
         if waiter.error is not None:
             raise waiter.error
-        assert waiter.place is not None
-        return waiter.place
+        assert waiter.slot is not None
+        return waiter.slot
 
     def cancel(self, request: ids.RequestId) -> None:
-        """Give up waiting: the caller has left."""
+        """Stop waiting because the caller has left."""
         self.refuse(request, make_refusal("caller-left", 0.0))
 
     def refuse(self, request: ids.RequestId, error: errors.NotRun) -> None:
-        """End the waiting of a request with an error, if it waits."""
+        """Fail a request with an error if it is waiting."""
         with self._lock:
             waiter = self._waiters.pop(request, None)
         if waiter is not None:
@@ -142,52 +142,52 @@
             self._delivery.send(waiter.home, cancel)
             self._refuse(waiter, error)
 
-    def begin(self, place: Place) -> None:
-        """Say that the first event has come."""
-        place.is_begun = True
-        ask = place.ask
-        begun = messages.RunBegun(ask.request, place.pool, place.server)
-        self._delivery.send(place.home, begun)
+    def begin(self, slot: Slot) -> None:
+        """Report the first event of a run."""
+        slot.is_begun = True
+        ask = slot.ask
+        begun = messages.RunBegun(ask.request, slot.pool, slot.server)
+        self._delivery.send(slot.home, begun)
 
-    def find_held(self, request: ids.RequestId) -> Place | None:
-        """Return the place that a request uses, if it has one."""
-        return self._held.get(request)
+    def find_slot(self, request: ids.RequestId) -> Slot | None:
+        """Return the slot that a request uses, or None."""
+        return self._slots.get(request)
 
     def settle_migration(
-        self, place: Place, target: ids.ServerId, *, is_moved: bool
+        self, slot: Slot, target: ids.ServerId, *, is_moved: bool
     ) -> None:
-        """Say where a run that was to move is."""
+        """Report whether a run has migrated to its target server."""
         moved = messages.RunMoved(
-            place.ask.request, place.pool, place.server, target, is_moved
+            slot.ask.request, slot.pool, slot.server, target, is_moved
         )
         if is_moved:
-            place.server = target
-        self._delivery.send(place.home, moved)
+            slot.server = target
+        self._delivery.send(slot.home, moved)
 
-    def end(self, place: Place, ending: states.RunEnding, pause: float = 0.0) -> None:
-        """Give a place back, and tell the longest pause of its stream."""
-        ask = place.ask
+    def end(self, slot: Slot, ending: states.RunEnding, pause: float = 0.0) -> None:
+        """Release a slot; ``pause`` is the longest time between two events."""
+        ask = slot.ask
         with self._lock:
-            self._held.pop(ask.request, None)
-        ended = messages.RunEnded(ask.request, place.pool, place.server, ending, pause)
-        self._delivery.send(place.home, ended)
+            self._slots.pop(ask.request, None)
+        ended = messages.RunEnded(ask.request, slot.pool, slot.server, ending, pause)
+        self._delivery.send(slot.home, ended)
 
-    def _take_offer(
+    def _handle_offer(
         self, home: ids.RouterId, _: ids.Incarnation, offer: messages.SlotOffer
     ) -> None:
-        """Bind an offer to its request; one that nobody waits for goes back."""
-        self._map.note_pressure(offer.pool, offer.pressure, time.monotonic())
+        """Hand a slot to the waiting request, or return it if none is waiting."""
+        self._map.record_pressure(offer.pool, offer.pressure, time.monotonic())
         with self._lock:
             waiter = self._waiters.pop(offer.request, None)
             if waiter is not None:
-                end_at = waiter.asked_at + waiter.ask.timeout
-                place = Place(waiter.ask, offer.pool, offer.server, home, end_at)
-                place.source = offer.source or None
-                self._held[offer.request] = waiter.place = place
+                end_at = waiter.requested_at + waiter.ask.timeout
+                slot = Slot(waiter.ask, offer.pool, offer.server, home, end_at)
+                slot.source = offer.source or None
+                self._slots[offer.request] = waiter.slot = slot
         if waiter is not None:
             waiter.ready.set()
             return
-        held = self._held.get(offer.request)
+        held = self._slots.get(offer.request)
         if held is not None and held.home == home and held.server == offer.server:
             return
         ended = messages.RunEnded(
@@ -195,10 +195,10 @@
         )
         self._delivery.send(home, ended)
 
-    def _take_refusal(
+    def _handle_refusal(
         self, home: ids.RouterId, _: ids.Incarnation, refusal: messages.SlotRefusal
     ) -> None:
-        self._map.note_pressure(refusal.pool, refusal.pressure, time.monotonic())
+        self._map.record_pressure(refusal.pool, refusal.pressure, time.monotonic())
         with self._lock:
             waiter = self._waiters.get(refusal.request)
             if waiter is None or waiter.home != home or waiter.ask.pool != refusal.pool:
@@ -206,130 +206,135 @@
             del self._waiters[refusal.request]
         self._refuse(waiter, make_refusal(refusal.reason, refusal.retry_after))
 
-    def _take_alive(
+    def _handle_queue_alive(
         self, home: ids.RouterId, _: ids.Incarnation, alive: messages.QueueAlive
     ) -> None:
         now = time.monotonic()
-        self._map.note_pressure(alive.pool, alive.pressure, now)
+        self._map.record_pressure(alive.pool, alive.pressure, now)
         with self._lock:
             for waiter in self._waiters.values():
                 if waiter.home == home and waiter.ask.pool == alive.pool:
-                    waiter.heard_at = now
+                    waiter.last_heard_at = now
 
     def _refuse(self, waiter: _Waiter, error: errors.NotRun) -> None:
         waiter.error = error
         waiter.ready.set()
 
-    def _move(self, now: float) -> None:
-        """Ask the present homes for what waits, and tell them what runs."""
-        told: list[tuple[ids.RouterId, messages.Message]] = []
+    def _update_homes(self, now: float) -> None:
+        """Send waiting requests and runs in progress to the current homes."""
+        outgoing: list[tuple[ids.RouterId, messages.Message]] = []
         with self._lock:
             for waiter in self._waiters.values():
                 pool = waiter.ask.pool
                 if not self._map.is_current(pool):
                     service, _, _ = shards.parse_pool(pool)
                     pool = self._map.choose_pool(service, waiter.ask, now)
-                told += self._move_waiter(waiter, pool, now)
-            for place in self._held.values():
-                told += self._move_place(place, now)
-        for home, message in told:
+                outgoing += self._move_waiter(waiter, pool, now)
+            for slot in self._slots.values():
+                outgoing += self._move_slot(slot, now)
+        for home, message in outgoing:
             self._delivery.send(home, message)
 
     def _move_waiter(
         self, waiter: _Waiter, pool: ids.PoolId, now: float
     ) -> list[tuple[ids.RouterId, messages.Message]]:
+        """Assign a waiting request to a pool; return the messages to its homes."""
         home = self._map.find_home(pool)
         if home == waiter.home and pool == waiter.ask.pool:
             return []
         cancel = messages.SlotCancel(waiter.ask.request, waiter.ask.pool)
-        before = (waiter.home, cancel)
+        to_old_home = (waiter.home, cancel)
         waiter.ask = msgspec.structs.replace(waiter.ask, pool=pool)
-        waiter.home, waiter.heard_at = home, now
-        waited = waiter.ask.waited + now - waiter.asked_at
-        return [before, (home, msgspec.structs.replace(waiter.ask, waited=waited))]
+        waiter.home, waiter.last_heard_at = home, now
+        waited = waiter.ask.waited + now - waiter.requested_at
+        return [to_old_home, (home, msgspec.structs.replace(waiter.ask, waited=waited))]
 
-    def _move_place(
-        self, place: Place, now: float
+    def _move_slot(
+        self, slot: Slot, now: float
     ) -> list[tuple[ids.RouterId, messages.Message]]:
-        service, _, _ = shards.parse_pool(place.pool)
-        pool = self._map.find_pool_of(service, place.server)
+        """Assign a run in progress to its current home; return the messages."""
+        service, _, _ = shards.parse_pool(slot.pool)
+        pool = self._map.find_server_pool(service, slot.server)
         if pool is None:
-            return []  # It has left: whoever placed the run forgets it at its end.
+            return []  # The server has left; the old home drops the run at its end.
         home = self._map.find_home(pool)
-        if home == place.home and pool == place.pool:
+        if home == slot.home and pool == slot.pool:
             return []
-        ask = place.ask
-        before = messages.RunEnded(
-            ask.request, place.pool, place.server, states.RunEnding.UNUSED
+        ask = slot.ask
+        ended = messages.RunEnded(
+            ask.request, slot.pool, slot.server, states.RunEnding.UNUSED
         )
         held = messages.RunHeld(
             ask.request,
             pool,
             ask.account,
-            place.server,
+            slot.server,
             ask.parts,
             ask.prompt_tokens,
-            place.is_begun,
-            max(0.0, place.end_at - now),
+            slot.is_begun,
+            max(0.0, slot.end_at - now),
             ask.isolation,
         )
-        told = [(place.home, before), (home, held)]
-        place.home, place.pool = home, pool
-        return told
+        outgoing = [(slot.home, ended), (home, held)]
+        slot.home, slot.pool = home, pool
+        return outgoing
 
     def _run(self) -> None:
         while not self._stopped.is_set():
-            self._some.wait()
+            self._has_waiters.wait()
             self._stopped.wait(TICK_SECONDS)
             try:
                 self._tick(time.monotonic())
             except Exception as error:
-                # Without this task requests of a dead home would wait for ever.
+                # If this thread ended, requests sent to a dead home would wait forever.
                 events.log(events.Event.TASK_FAILED, task="places", error=repr(error))
 
     def _tick(self, now: float) -> None:
+        """Refuse overdue requests, exclude silent homes and switch pools."""
         with self._lock:
             if not self._waiters and not self._stopped.is_set():
-                self._some.clear()
+                self._has_waiters.clear()
             silent = {
                 waiter.home
                 for waiter in self._waiters.values()
-                if now - waiter.heard_at > SILENT_SECONDS
+                if now - waiter.last_heard_at > HOME_TIMEOUT_SECONDS
                 and waiter.home != self._identity.router
             }
-            late = [
+            overdue = [
                 waiter
                 for waiter in self._waiters.values()
-                if now - waiter.asked_at > waiter.ask.timeout + LATE_SECONDS
+                if now - waiter.requested_at
+                > waiter.ask.timeout + REFUSAL_GRACE_SECONDS
             ]
-            for waiter in late:
+            for waiter in overdue:
                 del self._waiters[waiter.ask.request]
-        for waiter in late:
+        for waiter in overdue:
             self._refuse(waiter, make_refusal("no-place-in-time", 1.0))
         for router in silent:
-            self._map.pass_over(router, now)
+            self._map.exclude_home(router, now)
         if silent:
-            self._move(now)
-        self._move_to_better(now)
+            self._update_homes(now)
+        self._switch_pools(now)
 
-    def _move_to_better(self, now: float) -> None:
-        """Let requests that wait go to pools in which they would wait less."""
-        told: list[tuple[ids.RouterId, messages.Message]] = []
+    def _switch_pools(self, now: float) -> None:
+        """Move waiting requests to pools where they would wait less."""
+        outgoing: list[tuple[ids.RouterId, messages.Message]] = []
         with self._lock:
             for waiter in self._waiters.values():
-                due = waiter.asked_at + MOVE_SECONDS * (waiter.moves + 1)
-                if now < due or waiter.moves >= MOVES_MAX:
+                elapsed_min = SWITCH_INTERVAL_SECONDS * (waiter.switches + 1)
+                due = waiter.requested_at + elapsed_min
+                if now < due or waiter.switches >= SWITCHES_MAX:
                     continue
-                pool = self._map.find_better(waiter.ask.pool, waiter.ask, now)
+                pool = self._map.find_better_pool(waiter.ask.pool, waiter.ask, now)
                 if pool is not None:
-                    waiter.moves += 1
-                    told += self._move_waiter(waiter, pool, now)
-        for home, message in told:
+                    waiter.switches += 1
+                    outgoing += self._move_waiter(waiter, pool, now)
+        for home, message in outgoing:
             self._delivery.send(home, message)
 
 
 def make_refusal(reason: str, retry_after: float) -> errors.NotRun:
-    """Return the refusal of a request that no server has got."""
+    """Return the error for a request that was not sent to any server."""
     return errors.NotRun(
         "no place at a backend server",
         code=reason,
--- a/celeryspan/gateway/poolmap.py
+++ b/celeryspan/gateway/poolmap.py
@@ -1,6 +1,6 @@
-"""The kernel service ``poolmap``: which router is home of which pool.
+"""The kernel service ``poolmap``: assigns homes to pools and requests to pools.
 
-All routers work this out alike, from the list of backend servers and the membership.
+All routers derive the same homes from the list of backend servers and the membership.
 """
 
 from __future__ import annotations
@@ -19,12 +19,13 @@
     from celeryspan.gateway import serverlists
     from celeryspan.services import identity, membership
 
-PASSED_OVER_SECONDS = 3.0
-"""How long a silent home is passed over; its death is found within this time."""
+HOME_EXCLUSION_SECONDS = 3.0
+"""How long a silent home is excluded; if it is dead, the membership detects it within
+this time."""
 
-MOVE_GAIN_SECONDS = 0.1
-"""A request that waits goes to another shard only for this much: what homes say of
-their waiting time is some tenths of a second old."""
+SWITCH_GAIN_SECONDS_MIN = 0.1
+"""Minimum reduction of the waiting time for which a request switches to another shard:
+the reported waiting times are some tenths of a second old."""
 
 
 @kernel.register("poolmap", needs=("identity", "membership", "servers"))
@@ -36,21 +37,21 @@
         self._membership: membership.MembershipService = box.find("membership")
         self._servers: serverlists.ServersService = box.find("servers")
         self._pressures = shards.Pressures()
-        self._passed_over: dict[ids.RouterId, float] = {}
-        self._running = 1
-        self._hosts: dict[ids.RouterId, float] = {self._identity.router: 1.0}
+        self._excluded_until: dict[ids.RouterId, float] = {}
+        self._router_count = 1
+        self._host_cores: dict[ids.RouterId, float] = {self._identity.router: 1.0}
         self._divisions: dict[ids.ServiceId, shards.Division] = {}
         self._homes: dict[tuple[ids.ServiceId, int], tuple[ids.RouterId, ...]] = {}
         self._handlers: list[Callable[[], None]] = []
 
     def start(self) -> None:
-        """Begin to follow servers and routers."""
+        """Subscribe to changes of the server list and the membership."""
         self._set_members(self._membership.alive())
-        self._membership.subscribe(self._follow_members)
-        self._servers.subscribe(self._follow_servers)
+        self._membership.subscribe(self._handle_members)
+        self._servers.subscribe(self._handle_servers)
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing: this service has no thread."""
 
     def report(self) -> dict[str, object]:
         """Return the homes of each service's pools."""
@@ -60,14 +61,14 @@
         }
 
     def subscribe(self, handler: Callable[[], None]) -> None:
-        """Call a handler when pools or homes may have changed."""
+        """Register a handler to call when pools or homes may have changed."""
         self._handlers.append(handler)
 
     def count_routers(self) -> int:
-        """Return how many routers take part."""
-        return self._running
+        """Return the number of routers that are not leaving."""
+        return self._router_count
 
-    def find_pool_of(
+    def find_server_pool(
         self, service: ids.ServiceId, server: ids.ServerId
     ) -> ids.PoolId | None:
         """Return the pool of a backend server; None if it has left."""
@@ -80,16 +81,16 @@
     def choose_pool(
         self, service: ids.ServiceId, ask: messages.SlotRequest, now: float
     ) -> ids.PoolId:
-        """Return the pool of which a request is asked."""
+        """Return the pool to send a request to."""
         count = self._find_division(service).count
         key, penalty = shards.find_affinity(ask)
         shard = self._pressures.choose(service, count, key, penalty, now)
         return shards.name_pool(service, count, shard)
 
-    def find_better(
+    def find_better_pool(
         self, pool: ids.PoolId, ask: messages.SlotRequest, now: float
     ) -> ids.PoolId | None:
-        """Return the pool to which a request that waits had better go, or None."""
+        """Return the pool that a waiting request should switch to, or None."""
         service, count, _ = shards.parse_pool(pool)
         if count == 1 or count != self._find_division(service).count:
             return None
@@ -97,10 +98,10 @@
         gain = self._pressures.estimate(pool, now) - self._pressures.estimate(
             found, now
         )
-        return found if gain > MOVE_GAIN_SECONDS and found != pool else None
+        return found if gain > SWITCH_GAIN_SECONDS_MIN and found != pool else None
 
     def is_current(self, pool: ids.PoolId) -> bool:
-        """Whether a service still has as many pools as it had with this one."""
+        """Return whether a pool belongs to the current division of its service."""
         service, count, _ = shards.parse_pool(pool)
         return count == self._find_division(service).count
 
@@ -109,23 +110,23 @@
     ) -> list[catalog.ServerEntry]:
         """Return the backend servers of a pool."""
         service, count, shard = shards.parse_pool(pool)
-        mine = [name for name, each in entries.items() if each.service == service]
-        found = shards.split(mine, count)
-        return [entries[name] for name in mine if found[name] == shard]
+        servers = [name for name, each in entries.items() if each.service == service]
+        found = shards.split(servers, count)
+        return [entries[name] for name in servers if found[name] == shard]
 
-    def note_pressure(self, pool: ids.PoolId, seconds: float, now: float) -> None:
-        """Take in how long requests wait in a pool."""
+    def record_pressure(self, pool: ids.PoolId, seconds: float, now: float) -> None:
+        """Store the waiting time that a home reports for its pool."""
         self._pressures.record(pool, seconds, now)
 
-    def pass_over(self, router: ids.RouterId, now: float) -> None:
-        """Ask others in place of a home that is silent, for a while."""
-        until = now + PASSED_OVER_SECONDS
-        self._passed_over = {**self._passed_over, router: until}
+    def exclude_home(self, router: ids.RouterId, now: float) -> None:
+        """Use other homes in place of a silent one for some time."""
+        until = now + HOME_EXCLUSION_SECONDS
+        self._excluded_until = {**self._excluded_until, router: until}
         self._homes = {}
         events.log(events.Event.HOME_LEFT, peer=router, reason="silent")
 
     def find_home(self, pool: ids.PoolId) -> ids.RouterId:
-        """Return the home of a pool: this router if no other is left."""
+        """Return the home of a pool: this router if no other is available."""
         service, count, shard = shards.parse_pool(pool)
         found = self._list_homes(service, count)
         return found[shard] if shard < len(found) else self._identity.router
@@ -134,17 +135,17 @@
         self, service: ids.ServiceId, count: int
     ) -> tuple[ids.RouterId, ...]:
         now = time.monotonic()
-        if any(until <= now for until in self._passed_over.values()):
-            self._passed_over = {
+        if any(until <= now for until in self._excluded_until.values()):
+            self._excluded_until = {
                 router: until
-                for router, until in self._passed_over.items()
+                for router, until in self._excluded_until.items()
                 if until > now
             }
             self._homes = {}
         found = self._homes.get((service, count))
         if found is None:
-            routers = [r for r in self._hosts if r not in self._passed_over]
-            found = shards.find_homes(service, count, routers, self._hosts)
+            routers = [r for r in self._host_cores if r not in self._excluded_until]
+            found = shards.find_homes(service, count, routers, self._host_cores)
             self._homes[service, count] = found
         return found
 
@@ -152,17 +153,17 @@
         return self._divisions.get(service, shards.SINGLE_SHARD)
 
     def _set_members(self, members: list[messages.Member]) -> None:
-        """Take those that may be homes."""
+        """Set the routers that may be homes."""
         running = shards.list_running(members)
-        self._running = max(1, len(running))
-        self._hosts = shards.list_hosts(running)
+        self._router_count = max(1, len(running))
+        self._host_cores = shards.list_hosts(running)
         self._homes = {}
 
-    def _follow_members(self, members: list[messages.Member]) -> None:
+    def _handle_members(self, members: list[messages.Member]) -> None:
         self._set_members(members)
         self._notify()
 
-    def _follow_servers(self, usable: dict[ids.ServerId, catalog.ServerEntry]) -> None:
+    def _handle_servers(self, usable: dict[ids.ServerId, catalog.ServerEntry]) -> None:
         services: dict[ids.ServiceId, list[ids.ServerId]] = collections.defaultdict(
             list
         )
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -44,7 +44,7 @@
         self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
         self._quarantine: quarantines.QuarantineService = box.find("quarantine")
         self._migrations: migrations.Migrations = box.find("migrations")
-        self._places: places.Places = box.find("places")
+        self._places: places.SlotClient = box.find("places")
         self._servers: serverlists.ServersService = box.find("servers")
 
     def start(self) -> None:
@@ -130,7 +130,7 @@
     def pass_stream(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         reply: replies.Reply,
         sink: orders.Sink,
@@ -157,7 +157,7 @@
     def resume(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
@@ -226,7 +226,7 @@
     def _pass_rest(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         reply: replies.Reply,
         channel: channels.Channel,
--- a/tests/gateway/test_migrations.py
+++ b/tests/gateway/test_migrations.py
@@ -41,7 +41,7 @@
         support.wait_for(lambda: any(engine.ran for engine in engines))
         self.source, self.target = sorted(engines, key=lambda each: not each.ran)
         found = self.router.box.find("places")
-        support.wait_for(lambda: getattr(found.find_held("r1"), "is_begun", False))
+        support.wait_for(lambda: getattr(found.find_slot("r1"), "is_begun", False))
 
     def move(self) -> None:
         """Tell the router what its home would tell it."""
