--- a/celeryspan/gateway/poolhomes.py
+++ b/celeryspan/gateway/poolhomes.py
@@ -1,4 +1,4 @@
-"""The kernel service ``poolhomes``: ledgers of the pools kept by this router."""
+"""The kernel service ``poolhomes``: runs the pools whose home is this router."""
 
 from __future__ import annotations
 
@@ -18,28 +18,33 @@
     from celeryspan.services import delivery, identity, membership
 
 TICK_SECONDS = 0.005
-"""How often waiting requests are looked at again: engines read on meanwhile."""
+"""Interval at which waiting requests are reconsidered, because engines continue to
+prefill in the meantime."""
 
-REST_SECONDS = 0.002
-"""Between two looks, however much comes: bounds what deciding takes of a core."""
+TICK_PAUSE_SECONDS = 0.002
+"""Minimum pause between two ticks, however many messages arrive: it bounds the share of
+a core that decisions use."""
 
-IDLE_SECONDS = 0.5
-"""The same while nothing waits: only lost messages are to be cleaned up."""
+IDLE_TICK_SECONDS = 0.5
+"""Tick interval while nothing waits; such ticks only clean up after lost messages."""
 
-ALIVE_SECONDS = 0.2
-"""How often routers with waiting requests hear that these are still held."""
+QUEUE_ALIVE_SECONDS = 0.2
+"""Interval at which routers are told that their requests are still queued here."""
 
-SHARES_SECONDS = 0.25
-"""How often homes of one service tell each other what accounts have begun: with eight
-shards each knows the total after 0.75 s, while shares count for six seconds."""
+SHARES_INTERVAL_SECONDS = 0.25
+"""Interval at which the homes of a service exchange the service that accounts have
+received. With eight shards each home knows the total after 0.75 s; shares count for six
+seconds."""
 
-BACKLOGS_SECONDS = 1.0
-BACKLOGS_MAX = 8
-"""How often, and of how many accounts, a home logs what waits in a pool."""
+BACKLOG_LOG_SECONDS = 1.0
+"""Interval at which a home logs the accounts with waiting requests."""
 
-UNUSED_SECONDS = 10.0
-"""A pool without requests for this long is forgotten: the service has another number
-of pools now, or this router is no longer its home."""
+LOGGED_BACKLOGS_MAX = 8
+"""Maximum number of accounts per pool in such a log line."""
+
+UNUSED_POOL_SECONDS = 10.0
+"""Time without requests after which a pool is dropped: its service is now divided into
+another number of pools, or this router is no longer its home."""
 
 
 @kernel.register(
@@ -55,17 +60,18 @@
     ),
 )
 class PoolHomes:
-    """Decides for all routers who gets a place in the pools kept here.
+    """Assigns the slots of pools on behalf of all routers.
 
-    Whoever asks is served: routers may disagree for a moment about who is home, and a
-    request that nobody decides waits for nothing.
+    Requests from any router are accepted, even if this router doesn't consider itself
+    the home of the pool: routers may briefly disagree about homes, and a request that
+    no home accepted would wait in vain.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._catalogues: catalogues.CataloguesService = box.find("catalogues")
         self._delivery: delivery.DeliveryService = box.find("delivery")
         self._identity: identity.IdentityService = box.find("identity")
-        self._kept: keptparts.KeptParts = box.find("keptparts")
+        self._kept_parts: keptparts.KeptParts = box.find("keptparts")
         self._membership: membership.MembershipService = box.find("membership")
         self._map: poolmap.PoolMap = box.find("poolmap")
         self._servers: serverlists.ServersService = box.find("servers")
@@ -74,42 +80,42 @@
         self._pools: dict[ids.PoolId, pools.Pool] = {}
         self._used_at: dict[ids.PoolId, float] = {}
         self._incarnations: dict[ids.RouterId, ids.Incarnation] = {}
-        self._told_at = 0.0
-        self._shares_at = 0.0
-        self._logged_at = 0.0
+        self._alive_sent_at = 0.0
+        self._shares_sent_at = 0.0
+        self._backlogs_logged_at = 0.0
         self._changed = threading.Event()
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="poolhomes", daemon=True)
 
     def start(self) -> None:
-        """Begin to decide."""
-        self._delivery.subscribe(messages.SlotRequest, self._take_request)
-        self._delivery.subscribe(messages.SlotCancel, self._take_cancel)
-        self._delivery.subscribe(messages.RunHeld, self._take_held)
-        self._delivery.subscribe(messages.RunBegun, self._take_begun)
-        self._delivery.subscribe(messages.RunEnded, self._take_ended)
-        self._delivery.subscribe(messages.RunMoved, self._take_moved)
-        self._delivery.subscribe(messages.PoolShares, self._take_shares)
-        self._map.subscribe(self._set_servers)
-        self._catalogues.subscribe(lambda _: self._set_servers())
-        self._membership.subscribe(self._follow_members)
+        """Subscribe to the messages of routers and start the tick thread."""
+        self._delivery.subscribe(messages.SlotRequest, self._handle_request)
+        self._delivery.subscribe(messages.SlotCancel, self._handle_cancel)
+        self._delivery.subscribe(messages.RunHeld, self._handle_held)
+        self._delivery.subscribe(messages.RunBegun, self._handle_begun)
+        self._delivery.subscribe(messages.RunEnded, self._handle_ended)
+        self._delivery.subscribe(messages.RunMoved, self._handle_moved)
+        self._delivery.subscribe(messages.PoolShares, self._handle_shares)
+        self._map.subscribe(self._update_servers)
+        self._catalogues.subscribe(lambda _: self._update_servers())
+        self._membership.subscribe(self._handle_members)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop deciding; the routers ask the next home."""
+        """Stop the tick thread; routers send their requests to the next home."""
         self._stopped = True
         self._changed.set()
         self._thread.join()
 
     def report(self) -> dict[str, object]:
-        """Return what waits and runs in each pool kept here."""
+        """Return the numbers of waiting requests and of runs in each pool."""
         with self._lock:
             return {
                 name: {"waiting": pool.count_waiting(), "runs": pool.count_runs()}
                 for name, pool in self._pools.items()
             }
 
-    def _take_request(
+    def _handle_request(
         self,
         router: ids.RouterId,
         incarnation: ids.Incarnation,
@@ -117,32 +123,32 @@
     ) -> None:
         now = time.monotonic()
         with self._lock:
-            self._note_incarnation(router, incarnation)
+            self._record_incarnation(router, incarnation)
             answers = self._find_pool(ask.pool).ask(router, ask, now)
         self._send_answers(answers)
         self._changed.set()
 
-    def _take_cancel(
+    def _handle_cancel(
         self, _: ids.RouterId, __: ids.Incarnation, cancel: messages.SlotCancel
     ) -> None:
         with self._lock:
             self._find_pool(cancel.pool).cancel(cancel.request)
 
-    def _take_held(
+    def _handle_held(
         self, router: ids.RouterId, incarnation: ids.Incarnation, run: messages.RunHeld
     ) -> None:
         with self._lock:
-            self._note_incarnation(router, incarnation)
+            self._record_incarnation(router, incarnation)
             self._find_pool(run.pool).restore_run(router, run, time.monotonic())
 
-    def _take_moved(
+    def _handle_moved(
         self, _: ids.RouterId, __: ids.Incarnation, moved: messages.RunMoved
     ) -> None:
         with self._lock:
             self._find_pool(moved.pool).settle_migration(moved, time.monotonic())
         self._changed.set()
 
-    def _take_begun(
+    def _handle_begun(
         self, router: ids.RouterId, _: ids.Incarnation, begun: messages.RunBegun
     ) -> None:
         with self._lock:
@@ -153,7 +159,7 @@
             self._delivery.send(router, move)
         self._changed.set()
 
-    def _take_ended(
+    def _handle_ended(
         self, _: ids.RouterId, __: ids.Incarnation, ended: messages.RunEnded
     ) -> None:
         with self._lock:
@@ -162,16 +168,16 @@
             pool.end(ended.request, ended.server, ended.ending, now, ended.pause)
         self._changed.set()
 
-    def _take_shares(
-        self, _: ids.RouterId, __: ids.Incarnation, told: messages.PoolShares
+    def _handle_shares(
+        self, _: ids.RouterId, __: ids.Incarnation, shares: messages.PoolShares
     ) -> None:
         with self._lock:
-            pool = self._pools.get(told.pool)
+            pool = self._pools.get(shares.pool)
             if pool is not None:
-                pool.receive_shares(told, time.monotonic())
+                pool.receive_shares(shares, time.monotonic())
 
     def _find_pool(self, name: ids.PoolId) -> pools.Pool:
-        """Return a pool that is asked of; the caller holds the lock."""
+        """Return a pool, creating it if needed; the caller holds the lock."""
         self._used_at[name] = time.monotonic()
         pool = self._pools.get(name)
         if pool is None:
@@ -180,7 +186,7 @@
             events.log(events.Event.HOME_TAKEN, pool=name)
         return pool
 
-    def _set_servers(self) -> None:
+    def _update_servers(self) -> None:
         with self._lock:
             for pool in self._pools.values():
                 self._set_pool_servers(pool)
@@ -190,12 +196,13 @@
         service_id, _, _ = shards.parse_pool(pool.name)
         current = self._catalogues.current()
         service = current.services.get(service_id) if current else None
-        mine = self._map.list_servers(pool.name, self._servers.usable())
-        pool.set_servers(mine, service.engine if service else None)
+        entries = self._map.list_servers(pool.name, self._servers.usable())
+        pool.set_servers(entries, service.engine if service else None)
         for entry in pool.pop_unqueried():
-            self._kept.ask(entry, functools.partial(self._take_kept, pool.name))
+            add_parts = functools.partial(self._add_cached_parts, pool.name)
+            self._kept_parts.ask(entry, add_parts)
 
-    def _take_kept(
+    def _add_cached_parts(
         self,
         name: ids.PoolId,
         asked: catalog.ServerEntry,
@@ -207,34 +214,34 @@
                 pool.add_cached_parts(asked, parts, time.monotonic())
 
     def _drop_unused(self, now: float) -> None:
-        """Forget pools that nobody asks of any more; the caller holds the lock."""
+        """Drop pools that no longer get requests; the caller holds the lock."""
         for name, pool in list(self._pools.items()):
             is_idle = not pool.count_waiting() and not pool.count_runs()
-            if is_idle and now - self._used_at[name] > UNUSED_SECONDS:
+            if is_idle and now - self._used_at[name] > UNUSED_POOL_SECONDS:
                 del self._pools[name], self._used_at[name]
 
-    def _note_incarnation(
+    def _record_incarnation(
         self, router: ids.RouterId, incarnation: ids.Incarnation
     ) -> None:
-        """Free what the earlier life of a router held.
+        """Free the slots of a router's previous incarnation.
 
-        A router that restarts before it is held dead never leaves the membership;
-        without this its places would stay taken until their requests' timeouts.
+        A router that restarts before it is declared dead never leaves the membership;
+        without this its slots would stay in use until its requests time out.
         """
         newest = self._incarnations.get(router)
         if newest is not None and incarnation > newest:
-            self._forget(router)
+            self._forget_router(router)
         self._incarnations[router] = max(incarnation, newest or incarnation)
 
-    def _follow_members(self, members: list[messages.Member]) -> None:
+    def _handle_members(self, members: list[messages.Member]) -> None:
         alive = {member.router for member in members} | {self._identity.router}
         with self._lock:
             for router in self._incarnations.keys() - alive:
                 del self._incarnations[router]
-                self._forget(router)
+                self._forget_router(router)
         self._changed.set()
 
-    def _forget(self, router: ids.RouterId) -> None:
+    def _forget_router(self, router: ids.RouterId) -> None:
         for pool in self._pools.values():
             pool.forget_router(router)
 
@@ -244,27 +251,27 @@
             log_answer(answer)
 
     def _run(self) -> None:
-        waits = False
+        has_waiting = False
         while not self._stopped:
-            self._changed.wait(TICK_SECONDS if waits else IDLE_SECONDS)
+            self._changed.wait(TICK_SECONDS if has_waiting else IDLE_TICK_SECONDS)
             self._changed.clear()
             try:
-                waits = self._tick(time.monotonic())
+                has_waiting = self._tick(time.monotonic())
             except Exception as error:
-                # A fault in one decision must not end the task of all pools, which
-                # would show as servers that idle while requests wait.
+                # An error in one decision must not end the thread that serves all
+                # pools: servers would then idle while requests wait.
                 events.log(
                     events.Event.TASK_FAILED, task="poolhomes", error=repr(error)
                 )
-            if waits:
-                time.sleep(REST_SECONDS)
+            if has_waiting:
+                time.sleep(TICK_PAUSE_SECONDS)
 
     def _send_shares(self, now: float) -> None:
-        """Tell the homes of other shards what accounts have begun here."""
-        if now - self._shares_at < SHARES_SECONDS:
+        """Send the service that accounts received here to the homes of other shards."""
+        if now - self._shares_sent_at < SHARES_INTERVAL_SECONDS:
             return
-        self._shares_at = now
-        told = []
+        self._shares_sent_at = now
+        outgoing = []
         with self._lock:
             self._drop_unused(now)
             for name, pool in self._pools.items():
@@ -272,44 +279,48 @@
                 for dimension in range(count.bit_length() - 1):
                     partner = shards.name_pool(service, count, shard ^ (1 << dimension))
                     units = pool.sum_shares(dimension, now)
-                    told.append(messages.PoolShares(partner, dimension, units))
-        for message in told:
+                    outgoing.append(messages.PoolShares(partner, dimension, units))
+        for message in outgoing:
             self._delivery.send(self._map.find_home(message.pool), message)
 
     def _tick(self, now: float) -> bool:
-        """Decide again in all pools; returns whether anything waits."""
+        """Run a tick of all pools; return whether any request is waiting."""
         self._send_shares(now)
         self._log_backlogs(now)
+        is_alive_due = now - self._alive_sent_at > QUEUE_ALIVE_SECONDS
         with self._lock:
             answers = [a for pool in self._pools.values() for a in pool.tick(now)]
-            waits = any(pool.count_waiting() for pool in self._pools.values())
-            alive = self._list_alive(now) if now - self._told_at > ALIVE_SECONDS else []
+            has_waiting = any(pool.count_waiting() for pool in self._pools.values())
+            alive = self._make_alive_messages(now) if is_alive_due else []
         if alive:
-            self._told_at = now
+            self._alive_sent_at = now
         for router, message in alive:
             self._delivery.send(router, message)
         self._send_answers(answers)
-        return waits
+        return has_waiting
 
     def _log_backlogs(self, now: float) -> None:
-        """Log which accounts wait, and what each has got of late."""
-        if now - self._logged_at < BACKLOGS_SECONDS:
+        """Log the accounts that wait and the service each has recently received."""
+        if now - self._backlogs_logged_at < BACKLOG_LOG_SECONDS:
             return
-        self._logged_at = now
+        self._backlogs_logged_at = now
         with self._lock:
             found = {
                 name: pool.list_backlogs(now) for name, pool in self._pools.items()
             }
         for name, backlogs in found.items():
             if backlogs:
+                largest = backlogs[:LOGGED_BACKLOGS_MAX]
                 events.log(
                     events.Event.ACCOUNTS_WAIT,
                     pool=name,
                     accounts=len(backlogs),
-                    most=[list_fields(each) for each in backlogs[:BACKLOGS_MAX]],
+                    most=[format_backlog(each) for each in largest],
                 )
 
-    def _list_alive(self, now: float) -> list[tuple[ids.RouterId, messages.QueueAlive]]:
+    def _make_alive_messages(
+        self, now: float
+    ) -> list[tuple[ids.RouterId, messages.QueueAlive]]:
         return [
             (router, messages.QueueAlive(name, pool.measure_pressure(now)))
             for name, pool in self._pools.items()
@@ -317,13 +328,13 @@
         ]
 
 
-def list_fields(backlog: poolqueue.Backlog) -> list[object]:
-    """Return account, requests that wait, late ones among them, and what it got."""
+def format_backlog(backlog: poolqueue.Backlog) -> list[object]:
+    """Return a backlog's account, waiting and late requests, and received service."""
     return [backlog.account, backlog.waiting, backlog.late, round(backlog.level)]
 
 
 def log_answer(answer: pools.Answer) -> None:
-    """Log one decision of a pool and what it was made by."""
+    """Log a decision of a pool and the data behind it."""
     message, run, ask = answer.message, answer.run, answer.ask
     common = {
         "request": message.request,
--- a/tests/gateway/test_poolhomes.py
+++ b/tests/gateway/test_poolhomes.py
@@ -1,4 +1,4 @@
-"""What a home logs of its decisions."""
+"""Tests of the log lines in which a home records its decisions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_pool() -> pools.Pool:
-    """Return a pool with one place."""
+    """Return a pool with one slot."""
     pool = pools.Pool(ids.PoolId("engines#1#0"), random.Random(1))
     entry = catalog.ServerEntry(
         server=ids.ServerId("engine"),
@@ -31,7 +31,7 @@
     return pool
 
 
-def make_asks(count: int, **values: object) -> list[loads.Arrival]:
+def make_arrivals(count: int, **values: object) -> list[loads.Arrival]:
     """Return requests of one account."""
     load = loads.Load(
         "notes", 100.0, 0.4, 3.0, 0.3, (30, 20), 5, 60, 0.1, 6, ("short",), **values
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, object]]:
-    """Return the fields of what is logged from now on."""
+    """Return a list that receives the fields of each logged event."""
     found: list[dict[str, object]] = []
     monkeypatch.setattr(
         events, "log", lambda event, **fields: found.append({"event": event, **fields})
@@ -49,19 +49,19 @@
     return found
 
 
-def test_place_that_is_given_or_refused_names_account_and_time(lines) -> None:
-    """Guards against a record that can't tell late requests from unfair order."""
+def test_decisions_are_logged_with_account_and_waiting_time(lines) -> None:
+    """Guards against logs that don't tell late requests from unfair scheduling."""
     pool = make_pool()
-    first, second = make_asks(2)
+    first, second = make_arrivals(2)
     answers = pool.ask(ids.RouterId("edge"), first.ask, 0.0)
     pool.ask(ids.RouterId("edge"), second.ask, 0.1)
     answers += pool.tick(2.0)
     for answer in answers:
         poolhomes.log_answer(answer)
-    given, refused = lines
-    assert given["event"] is events.Event.GRANT_ISSUED
+    granted, refused = lines
+    assert granted["event"] is events.Event.GRANT_ISSUED
     assert refused["event"] is events.Event.PLACE_REFUSED
-    for line, waited, is_late in ((given, 0.0, False), (refused, 1.9, True)):
+    for line, waited, is_late in ((granted, 0.0, False), (refused, 1.9, True)):
         assert line["account"] == "short"
         assert line["pool"] == "engines#1#0"
         assert line["before"] == 0.0
@@ -70,15 +70,15 @@
     json.dumps([{**line, "event": int(line["event"])} for line in lines])
 
 
-def test_backlogs_tell_what_waits_and_what_was_begun() -> None:
+def test_backlog_has_waiting_requests_and_received_service() -> None:
     pool = make_pool()
-    first, *others = make_asks(4)
+    first, *others = make_arrivals(4)
     pool.ask(ids.RouterId("edge"), first.ask, 0.0)
     for other in others:
         pool.ask(ids.RouterId("edge"), other.ask, 0.0)
     (backlog,) = pool.list_backlogs(0.0)
-    begun = first.ask.prompt_tokens + 2 * first.ask.output_tokens
-    assert poolhomes.list_fields(backlog) == ["short", 3, 0, begun]
+    received = first.ask.prompt_tokens + 2 * first.ask.output_tokens
+    assert poolhomes.format_backlog(backlog) == ["short", 3, 0, received]
     (later,) = pool.list_backlogs(1.0)
     assert later.late == 3
-    assert later.level < begun
+    assert later.level < received
