--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -181,7 +181,7 @@
                 order, place.server, progress, channel, until, source=place.source
             )
             ending = self._pass_on(order, place, progress, reply, sink)
-            self._quarantine.note_answered(order, progress)
+            self._quarantine.record_answered(order, progress)
         except backend.Declined as declined:
             gone = states.RunEnding.GONE
             ending = gone if declined.leaving else states.RunEnding.REJECTED
@@ -191,7 +191,7 @@
             if not order.presence.gone:
                 if self._sender.resume(order, place, progress, sink):
                     ending = states.RunEnding.ANSWERED
-                    self._quarantine.note_answered(order, progress)
+                    self._quarantine.record_answered(order, progress)
                     return True
                 ending = states.RunEnding.FAILED
                 self._note_loss(order, channel, progress, lost)
@@ -275,7 +275,7 @@
         except ConnectionAbortedError:
             self._give_back(place, channel)
             raise
-        self._quarantine.note_sent(order, progress)
+        self._quarantine.record_sent(order, progress)
 
     def _give_back(self, place: places.Slot, channel: channels.Channel) -> None:
         """Close a connection on which nothing was sent, and free its place."""
--- a/celeryspan/gateway/quarantinestore.py
+++ b/celeryspan/gateway/quarantinestore.py
@@ -1,7 +1,8 @@
-"""The kernel service ``quarantinestore``: what is known of suspects, kept in the store.
+"""The kernel service ``quarantinestore``: persists the suspects in the store.
 
-All routers may lose their memory at once. One of them writes for all; the others take
-over in turn if it does not. What operators release is read back from there.
+All routers may restart at once, so the suspects are stored outside of their memory. One
+router writes for the whole fleet; if it fails to, the others take over in turn.
+Requests that operators release are read back from the store.
 """
 
 from __future__ import annotations
@@ -20,34 +21,37 @@
     from celeryspan.services import identity, membership
 
 TICK_SECONDS = 0.2
-"""Between two looks while something is to be written or read."""
+"""Interval between two checks while a write or the second read is pending."""
 
-GATHER_SECONDS = 3.0
-"""Between two writes of news that change nothing about who is isolated or refused."""
+WRITE_DELAY_SECONDS = 3.0
+"""Time for which updates are collected before a write if they change neither which
+requests are isolated nor which are quarantined."""
 
-TURN_SECONDS = 2.0
-"""How much later each further router writes."""
+TAKEOVER_SECONDS = 2.0
+"""Additional delay before each further router writes."""
 
 RETRY_SECONDS = 1.0
-"""Pause after a call that the store has not answered as it should."""
+"""Pause after a failed call to the store."""
 
-RESTORE_SECONDS = 4.0
-"""Until the second look at the store after the start: answers may be this old."""
+SECOND_READ_SECONDS = 4.0
+"""Time between the first and the second read after the start, because the answer to the
+first may be this stale."""
 
-RELEASE_SECONDS = 5.0
-"""How often one router looks for what operators have released."""
+RELEASE_POLL_SECONDS = 5.0
+"""Interval at which one router reads which requests operators have released."""
 
 DUTY = "quarantine"
+"""Key that determines the order in which routers write."""
 
-RESTRICTED = (quarantine.Standing.ISOLATED, quarantine.Standing.QUARANTINED)
-"""Standings whose loss lets servers crash."""
+RESTRICTED_STANDINGS = (quarantine.Standing.ISOLATED, quarantine.Standing.QUARANTINED)
+"""Standings that protect servers and must therefore be stored at once."""
 
 
 @kernel.register(
     "quarantinestore", needs=("identity", "membership", "objects", "quarantine")
 )
 class QuarantineStore:
-    """Writes and reads the object with the suspects."""
+    """Writes and reads the stored object that holds the suspects."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         store: objectstore.ObjectStore = box.find("objects")
@@ -56,9 +60,9 @@
         self._membership: membership.MembershipService = box.find("membership")
         self._quarantine: quarantines.QuarantineService = box.find("quarantine")
         self._revision: int | None = None
-        self._due_at = 0.0
-        self._restored = 0
-        self._read_at = 0.0
+        self._write_due_at = 0.0
+        self._reads_completed = 0
+        self._last_read_at = 0.0
         self._wake = threading.Event()
         self._stopped = False
         self._thread = threading.Thread(
@@ -66,36 +70,37 @@
         )
 
     def start(self) -> None:
-        """Begin to read and to write."""
-        self._quarantine.subscribe(self._note_change)
+        """Subscribe to changes of standings and start the thread."""
+        self._quarantine.subscribe(self._handle_changes)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop; a call that is under way is not waited for."""
+        """Stop without waiting for a call in progress."""
         self._stopped = True
         self._wake.set()
 
-    def _note_change(self, changes: list[quarantine.StandingChange]) -> None:
+    def _handle_changes(self, changes: list[quarantine.StandingChange]) -> None:
         now = time.monotonic()
-        restricted = {each.before for each in changes} | {
-            each.after for each in changes
-        }
-        is_urgent = not restricted.isdisjoint(RESTRICTED)
-        pause = TICK_SECONDS if is_urgent else GATHER_SECONDS
-        is_waiting = not self._is_stored() and self._due_at > now
-        self._due_at = min(self._due_at, now + pause) if is_waiting else now + pause
+        affected = {each.before for each in changes} | {each.after for each in changes}
+        is_urgent = not affected.isdisjoint(RESTRICTED_STANDINGS)
+        due_at = now + (TICK_SECONDS if is_urgent else WRITE_DELAY_SECONDS)
+        is_write_pending = not self._is_stored() and self._write_due_at > now
+        self._write_due_at = (
+            min(self._write_due_at, due_at) if is_write_pending else due_at
+        )
         self._wake.set()
 
     def _run(self) -> None:
         while not self._stopped:
-            pause = self._find_pause()
+            pause = self._compute_pause()
             try:
-                self._look(time.monotonic())
+                self._synchronize(time.monotonic())
             except errors.StoreError as error:
                 events.log(events.Event.STORE_ANSWER_LOST, error=str(error))
                 pause = RETRY_SECONDS
             except Exception as error:
-                # Without this task a restart of all routers forgets the suspects.
+                # If this thread ended, a restart of all routers would lose the
+                # suspects.
                 events.log(
                     events.Event.TASK_FAILED, task="quarantine store", error=repr(error)
                 )
@@ -103,44 +108,45 @@
             self._wake.wait(pause)
             self._wake.clear()
 
-    def _find_pause(self) -> float | None:
-        """Return when to look again if nothing changes; None for never."""
-        if self._restored < 2 or not self._is_stored():
+    def _compute_pause(self) -> float | None:
+        """Return the seconds until the next check; None to wait for a change."""
+        if self._reads_completed < 2 or not self._is_stored():
             return TICK_SECONDS
-        return RELEASE_SECONDS if self._quarantine.has_quarantined() else None
+        return RELEASE_POLL_SECONDS if self._quarantine.has_quarantined() else None
 
     def _is_stored(self) -> bool:
+        """Return whether the store holds all suspects of this router."""
         return self._quarantine.digest in (0, self._quarantine.stored.digest)
 
-    def _look(self, now: float) -> None:
-        """Do what is due."""
-        if self._must_read(now):
+    def _synchronize(self, now: float) -> None:
+        """Read and write the stored object if due."""
+        if self._is_read_due(now):
             self._read()
-            self._read_at = now
-            self._restored += 1
+            self._last_read_at = now
+            self._reads_completed += 1
         if not self._is_stored():
-            if now >= self._due_at + self._find_turn() * TURN_SECONDS:
+            if now >= self._write_due_at + self._find_position() * TAKEOVER_SECONDS:
                 self._write()
 
-    def _must_read(self, now: float) -> bool:
-        if self._restored == 0:
+    def _is_read_due(self, now: float) -> bool:
+        if self._reads_completed == 0:
             return True
-        since = now - self._read_at
-        if self._restored == 1:
-            return since >= RESTORE_SECONDS
-        is_due = since >= RELEASE_SECONDS and self._quarantine.has_quarantined()
-        return is_due and self._find_turn() == 0
+        elapsed = now - self._last_read_at
+        if self._reads_completed == 1:
+            return elapsed >= SECOND_READ_SECONDS
+        is_due = elapsed >= RELEASE_POLL_SECONDS and self._quarantine.has_quarantined()
+        return is_due and self._find_position() == 0
 
-    def _find_turn(self) -> int:
+    def _find_position(self) -> int:
         members = [member.router for member in self._membership.alive()]
         return turns.find_position(self._identity.router, members, DUTY)
 
     def _read(self) -> None:
-        """Take in what the store holds; an old answer costs a tenth of a fresh one."""
+        """Merge the stored suspects; a stale read costs a tenth of a fresh one."""
         listing = self._client.list_objects(names.QUARANTINE_KIND, is_stale=True)
         for found in listing.objects:
             if found.name == names.QUARANTINE_NAME:
-                self._merge(found, spread=self._restored >= 2)
+                self._merge(found, spread=self._reads_completed >= 2)
 
     def _merge(self, found: storedobjects.StoredObject, *, spread: bool = True) -> None:
         try:
@@ -156,10 +162,10 @@
         self._quarantine.merge(suspects, spread=spread)
         digest = quarantine.hash_suspects(suspects)
         stored = messages.SuspectsStored(digest, found.revision)
-        self._quarantine.note_stored(stored)
+        self._quarantine.record_stored(stored)
 
     def _write(self) -> None:
-        """Write what is known, over what was there and is known now as well."""
+        """Write all suspects, replacing stored ones that have been merged before."""
         suspects = self._quarantine.list_suspects()
         spec = records.write(suspects)
         kind, name = names.QUARANTINE_KIND, names.QUARANTINE_NAME
@@ -168,7 +174,7 @@
                 found = self._client.get(kind, name)
                 self._revision = found.revision
                 self._merge(found)
-                return  # What was there may have to be written with the rest.
+                return  # The next write includes the suspects just merged.
             written = self._client.replace(kind, name, spec, self._revision)
         except errors.NotFound:
             written = self._create(spec)
@@ -180,13 +186,13 @@
         self._revision = written.revision
         digest = quarantine.hash_suspects(suspects)
         stored = messages.SuspectsStored(digest, written.revision)
-        self._quarantine.note_stored(stored)
+        self._quarantine.record_stored(stored)
         events.log(
             events.Event.QUARANTINE_STORED, requests=len(suspects), digest=digest
         )
 
     def _create(self, spec: dict[str, object]) -> storedobjects.StoredObject | None:
-        """Write the object for the first time; None if another router was faster."""
+        """Create the object; return None if another router has just created it."""
         try:
             return self._client.create(
                 names.QUARANTINE_KIND, names.QUARANTINE_NAME, spec
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -208,7 +208,7 @@
         """
         self._quarantine.check(order, progress)
         channel = self._channels.open(entry, once_only=True)
-        self._quarantine.note_sent(order, progress)
+        self._quarantine.record_sent(order, progress)
         order.presence.watch(channel.make_abort())
         try:
             reply = self.send(
--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -78,10 +78,10 @@
     with support.open_place() as place:
         server = place.add_server("gate-1")
         router = place.start_router()
-        test_quarantines.blame(router, b"mended", 3)
+        test_quarantines.add_strikes(router, b"mended", 3)
         support.wait_for(lambda: place.store.find(KIND, "main"))
         assert router.call("/bookings/1", body=b"mended").status == 429
-        name = str(test_quarantines.fingerprint(router, b"mended"))
+        name = str(test_quarantines.compute_fingerprint(router, b"mended"))
         assert run(place.store, "release", name) is EXIT.DONE
         support.wait_for(
             lambda: router.call("/bookings/1", "r2", body=b"mended").status == 200
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""What becomes of requests that crash servers, and of those beside them."""
+"""Tests of requests that crash servers and of the requests that run next to them."""
 
 from __future__ import annotations
 
@@ -15,11 +15,14 @@
 
 FATAL = b"divide by zero"
 
-RETRIES_MAX = 3
-"""Sends of a request after it has crashed three servers."""
+QUARANTINE_CRASHES = 3
+"""Crashes after which a request is quarantined."""
 
-NEWS_SECONDS = 1.0
-"""Time in which the third crash is known everywhere; the users allow 3 s."""
+LATE_SENDS_MAX = 3
+"""Times that a request may still be sent after it has crashed three servers."""
+
+PROPAGATION_SECONDS = 1.0
+"""Time within which all routers know of the third crash; 3 s are required."""
 
 PATHS = {
     "plain": ("/calls/1", "gate"),
@@ -29,8 +32,8 @@
 }
 
 
-def pick(kinds: Iterable[str]) -> pytest.MarkDecorator:
-    """Run a test for requests of some kinds."""
+def for_kinds(kinds: Iterable[str]) -> pytest.MarkDecorator:
+    """Parametrize a test by kinds of requests."""
     return pytest.mark.parametrize(
         "path, service", [pytest.param(*PATHS[kind], id=kind) for kind in kinds]
     )
@@ -38,7 +41,7 @@
 
 @pytest.fixture
 def crash(place) -> Iterator[callable]:
-    """Return what starts the servers of a service, which crash on one body."""
+    """Return a function that starts servers of a service that crash on one body."""
     started: list[crashing.CrashingServers] = []
 
     def start(service: str, count: int = 3, **values: object):
@@ -56,7 +59,7 @@
 def ask(
     router: support.Router, path: str, request: str, body: bytes
 ) -> http.client.HTTPResponse | None:
-    """Send one request; None if its answer breaks off."""
+    """Send a request; return None if the connection breaks."""
     try:
         return router.call(path, request, body=body)
     except (OSError, http.client.HTTPException):
@@ -66,7 +69,7 @@
 def repeat(
     routers: list[support.Router], path: str, count: int, gap: float = 0.1
 ) -> list[http.client.HTTPResponse | None]:
-    """Send copies of the fatal request, each under its own id, by all routers."""
+    """Send copies of the fatal request, each with its own id, to routers in turn."""
     answers = []
     for number in range(count):
         router = routers[number % len(routers)]
@@ -75,48 +78,49 @@
     return answers
 
 
-def count_late(servers: crashing.CrashingServers) -> int:
-    """Return how many copies reached servers once the third crash was known."""
-    assert len(servers.crashes) >= RETRIES_MAX, "fewer crashes than the test is about"
-    known_at = sorted(at for at, _ in servers.crashes)[2] + NEWS_SECONDS
+def count_late_sends(servers: crashing.CrashingServers) -> int:
+    """Return how many copies reached servers after the third crash was known."""
+    assert len(servers.crashes) >= QUARANTINE_CRASHES, "too few crashes for this test"
+    crashed_at = sorted(at for at, _ in servers.crashes)[QUARANTINE_CRASHES - 1]
+    known_at = crashed_at + PROPAGATION_SECONDS
     return sum(seen.at > known_at for seen in servers.list_seen(FATAL))
 
 
-@pick(PATHS)
+@for_kinds(PATHS)
 def test_request_that_crashed_three_servers_reaches_at_most_three_more(
     place, crash, path: str, service: str
 ) -> None:
-    """Guards against one request that crashes server after server."""
+    """Guards against a resubmitted request that crashes one server after another."""
     servers = crash(service)
     routers = [place.start_router(f"edge-{index}") for index in range(2)]
     repeat(routers, path, 30)
-    assert count_late(servers) <= RETRIES_MAX
+    assert count_late_sends(servers) <= LATE_SENDS_MAX
 
 
-@pick(["once only"])
-def test_bound_of_crashes_outlasts_the_restart_of_all_routers(
+@for_kinds(["once only"])
+def test_crash_limit_persists_when_all_routers_restart(
     place, crash, path: str, service: str
 ) -> None:
-    """Guards against routers that forget, once restarted, what crashed servers."""
+    """Guards against restarted routers that forget which requests crash servers."""
     servers = crash(service)
-    for life in range(4):
-        routers = [place.start_router(f"edge-{life}-{index}") for index in range(2)]
+    for restart in range(4):
+        routers = [place.start_router(f"edge-{restart}-{index}") for index in range(2)]
         repeat(routers, path, 8)
         for router in routers:
             router.stop()
-    assert count_late(servers) <= RETRIES_MAX
+    assert count_late_sends(servers) <= LATE_SENDS_MAX
 
 
-@pick(["plain", "resumable"])
-def test_other_requests_of_the_account_are_served_beside_one_that_crashes_servers(
+@for_kinds(["plain", "resumable"])
+def test_other_requests_of_the_account_are_served_while_one_crashes_servers(
     place, crash, path: str, service: str
 ) -> None:
-    """Guards against a whole service that is down because of one request."""
+    """Guards against one request that makes a whole service unavailable."""
     servers = crash(service)
     routers = [place.start_router(f"edge-{index}") for index in range(2)]
     fatal = threading.Thread(target=repeat, args=(routers, path, 30), daemon=True)
     fatal.start()
-    tries = []
+    attempts = []
     for number, router in zip(range(40), itertools.cycle(routers), strict=False):
         body = f"another {number}".encode()
         for attempt in itertools.count(1):
@@ -125,17 +129,17 @@
                 break
             assert answer is None or answer.status != 429, answer.text
             time.sleep(0.05)
-        tries.append(attempt)
+        attempts.append(attempt)
     fatal.join()
-    assert count_late(servers) <= RETRIES_MAX
-    assert tries[-10:] == [1] * 10
+    assert count_late_sends(servers) <= LATE_SENDS_MAX
+    assert attempts[-10:] == [1] * 10
 
 
-@pick(["plain", "resumable"])
-def test_equal_requests_are_served_while_servers_crash_for_another_reason(
+@for_kinds(["plain", "resumable"])
+def test_identical_requests_are_served_while_servers_crash_for_another_reason(
     place, crash, path: str, service: str
 ) -> None:
-    """Guards against popular requests that are taken for the cause of crashes."""
+    """Guards against blaming popular requests for crashes they did not cause."""
     servers = crash(service)
     routers = [place.start_router(f"edge-{index}") for index in range(2)]
     statuses = []
--- a/tests/gateway/test_crashwatch.py
+++ b/tests/gateway/test_crashwatch.py
@@ -1,4 +1,4 @@
-"""Which lost answers a router takes for crashed servers."""
+"""Tests of how a router tells crashed servers from lost connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, object]]:
-    """Return the fields of what is logged from now on."""
+    """Return a list that receives the fields of each logged event."""
     found: list[dict[str, object]] = []
     monkeypatch.setattr(
         events, "log", lambda event, **fields: found.append({"event": event, **fields})
@@ -22,17 +22,17 @@
 
 
 def select(lines: list[dict], event: events.Event) -> list[dict]:
-    """Return the lines of one event."""
+    """Return the log lines of one event."""
     return [line for line in list(lines) if line["event"] is event]
 
 
 @pytest.mark.parametrize(
     "path, service", [("/bookings/1", "gate"), ("/notes/1", "planner")]
 )
-def test_crash_is_logged_with_the_fingerprint_of_what_ran(
+def test_crash_is_logged_with_the_fingerprint_of_the_lost_run(
     place, lines, path: str, service: str
 ) -> None:
-    """Guards against a record that can't tell copies of one request from others."""
+    """Guards against logs in which copies of one request can't be recognized."""
     servers = crashing.CrashingServers(place.store, service, 2, {FATAL})
     try:
         router = place.start_router()
@@ -54,10 +54,10 @@
 
 
 @pytest.mark.parametrize("failure", ["reset", "cut"])
-def test_lost_answer_of_a_server_that_lives_is_no_crash(
+def test_lost_answer_of_a_running_server_is_no_crash(
     place, lines, failure: str
 ) -> None:
-    """Guards against innocents that are suspected when answers are lost."""
+    """Guards against suspecting requests whose answers were lost without a crash."""
     server = place.add_server("gate-1")
     server.script.append(failure)
     router = place.start_router()
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -1,4 +1,4 @@
-"""What routers know of requests that crash servers, and how long."""
+"""Tests of how routers share and store suspects and refuse quarantined requests."""
 
 from __future__ import annotations
 
@@ -16,63 +16,63 @@
 
 FATAL = b"divide by zero"
 Standing = quarantine.Standing
-CUT = types.SimpleNamespace(text=b"")
+CUT_ANSWER = types.SimpleNamespace(text=b"")
 
 
 def find_standing(router: support.Router, body: bytes, path: str = "/bookings/1"):
-    """Return how a router treats a request."""
-    whole = fingerprint(router, body, path).whole
+    """Return the standing of a request at a router."""
+    whole = compute_fingerprint(router, body, path).whole
     return router.box.find("quarantine")._quarantine.find_standing(whole)
 
 
-def fingerprint(router: support.Router, body: bytes, path: str = "/bookings/1"):
-    """Return the fingerprint of a request of the tests' account."""
+def compute_fingerprint(router: support.Router, body: bytes, path: str = "/bookings/1"):
+    """Return the fingerprint of a request of the test account."""
     return router.box.find("crashwatch")._fingerprinter.compute(
         support.HOST, path.encode(), support.ACCOUNT, "POST", body
     )
 
 
-def blame(
+def add_strikes(
     router: support.Router, body: bytes, crashes: int, path: str = "/bookings/1"
 ) -> None:
-    """Let a router know of some crashes under a request."""
+    """Record crashes against a request at a router."""
     now_ms = time.time_ns() // 1_000_000
-    found = fingerprint(router, body, path)
+    found = compute_fingerprint(router, body, path)
     strikes = tuple(
         messages.Strike(f"gone-{n}@0", now_ms - 10 + n, n, 100, True)
         for n in range(1, crashes + 1)
     )
-    word = messages.Suspect(found.scope, found.whole, 0, strikes)
-    router.box.find("quarantine").merge([word])
+    suspect = messages.Suspect(found.scope, found.whole, 0, strikes)
+    router.box.find("quarantine").merge([suspect])
 
 
 def start_fleet(place: support.Place, count: int = 2) -> list[support.Router]:
-    """Start routers that know each other."""
+    """Start routers and wait until each lists all others as alive."""
     routers = [place.start_router(f"edge-{index}") for index in range(count)]
     found = [router.box.find("membership") for router in routers]
     support.wait_for(lambda: all(len(each.alive()) == count for each in found))
     return routers
 
 
-def test_held_request_is_refused_with_its_cause_and_runs_nowhere(place) -> None:
+def test_quarantined_request_is_refused_with_the_reason_and_never_runs(place) -> None:
     server = place.add_server("gate-1")
     router = place.start_router()
-    blame(router, FATAL, 3)
+    add_strikes(router, FATAL, 3)
     answer = router.call("/bookings/1", body=FATAL)
     assert answer.status == 429
     assert float(answer.getheader("Retry-After")) > 3600
     assert b"request-quarantined" in answer.text
     assert b"not-run" in answer.text
-    assert str(fingerprint(router, FATAL)).encode() in answer.text
+    assert str(compute_fingerprint(router, FATAL)).encode() in answer.text
     assert router.call("/bookings/1", "r2", body=b"another").status == 200
     assert router.call("/bookings/2", "r3", body=FATAL).status == 200
     assert server.ran == ["r2", "r3"]
 
 
-def test_other_routers_refuse_what_one_has_seen(place) -> None:
+def test_quarantine_at_one_router_applies_at_all(place) -> None:
     server = place.add_server("gate-1")
     routers = start_fleet(place, 3)
-    blame(routers[0], FATAL, 3)
+    add_strikes(routers[0], FATAL, 3)
     support.wait_for(
         lambda: all(
             find_standing(router, FATAL) is Standing.QUARANTINED for router in routers
@@ -83,111 +83,116 @@
     assert server.ran == []
 
 
-def test_router_that_starts_learns_from_the_others_while_the_store_is_silent(
+def test_new_router_learns_from_the_others_while_the_store_is_unavailable(
     place,
 ) -> None:
-    """Guards against a replaced VM by which a request crashes servers again."""
+    """Guards against a replaced VM whose router sends a quarantined request."""
     place.add_server("gate-1")
     first = place.start_router("edge-1")
     support.wait_for(lambda: place.store.find("celeryspan-routers", "edge-1"))
     second = place.start_router("edge-2")
     support.wait_for(lambda: len(second.box.find("membership").alive()) == 2)
     place.store.faults.silent = True
-    blame(first, FATAL, 3)
+    add_strikes(first, FATAL, 3)
     support.wait_for(lambda: find_standing(second, FATAL) is Standing.QUARANTINED)
     assert place.store.find("celeryspan-quarantine", "main") is None
 
 
-def test_news_that_were_lost_on_the_way_are_found_by_comparison(place) -> None:
-    """Guards against a router that was cut off and goes on to crash servers."""
+def test_lost_updates_are_recovered_by_comparing_digests(place) -> None:
+    """Guards against a router that missed updates while it was partitioned."""
     place.add_server("gate-1")
     routers = start_fleet(place)
-    cut = routers[1].box.find("quarantine")
-    take_frame, cut._take_frame = cut._take_frame, lambda *_: None
+    partitioned = routers[1].box.find("quarantine")
+    handle_frame = partitioned._handle_frame
+    partitioned._handle_frame = lambda *_: None
     handlers = routers[1].box.find("datagrams")._handlers
-    index = handlers.index(take_frame)
+    index = handlers.index(handle_frame)
     handlers[index] = lambda *_: None
-    blame(routers[0], FATAL, 3)
+    add_strikes(routers[0], FATAL, 3)
     support.wait_for(lambda: not routers[0].box.find("quarantine")._gossip)
     assert find_standing(routers[1], FATAL) is Standing.CLEAR
-    handlers[index] = take_frame
+    handlers[index] = handle_frame
     support.wait_for(lambda: find_standing(routers[1], FATAL) is Standing.QUARANTINED)
 
 
 @pytest.mark.parametrize("crashes", [2, 3])
-def test_restart_of_all_routers_forgets_nothing(place, crashes: int) -> None:
+def test_suspects_persist_when_all_routers_restart(place, crashes: int) -> None:
     place.add_server("gate-1")
     routers = start_fleet(place)
-    blame(routers[0], FATAL, crashes)
+    add_strikes(routers[0], FATAL, crashes)
     support.wait_for(lambda: place.store.find("celeryspan-quarantine", "main"))
     for router in routers:
         router.stop()
-    again = place.start_router("edge-9")
-    support.wait_for(lambda: find_standing(again, FATAL) is not Standing.CLEAR)
+    restarted = place.start_router("edge-9")
+    support.wait_for(lambda: find_standing(restarted, FATAL) is not Standing.CLEAR)
     expected = Standing.QUARANTINED if crashes == 3 else Standing.ISOLATED
-    assert find_standing(again, FATAL) is expected
+    assert find_standing(restarted, FATAL) is expected
 
 
-def test_store_that_was_away_gets_what_was_seen_meanwhile(place) -> None:
+def test_suspects_are_stored_once_the_store_is_available_again(place) -> None:
     place.add_server("gate-1")
     routers = start_fleet(place)
     place.store.faults.refuse_status = 503
-    blame(routers[0], FATAL, 3)
+    add_strikes(routers[0], FATAL, 3)
     support.wait_for(lambda: find_standing(routers[1], FATAL) is Standing.QUARANTINED)
     assert place.store.find("celeryspan-quarantine", "main") is None
     place.store.faults.refuse_status = 0
     support.wait_for(lambda: place.store.find("celeryspan-quarantine", "main"))
 
 
-def test_record_is_written_once_for_the_fleet(place) -> None:
+def test_suspects_are_written_once_for_the_fleet(place) -> None:
     place.add_server("gate-1")
     routers = start_fleet(place, 3)
-    blame(routers[0], FATAL, 2)
-    own = [router.box.find("quarantine") for router in routers]
-    support.wait_for(lambda: all(each.digest == own[0].digest for each in own))
-    support.wait_for(lambda: all(each.stored.digest == own[0].digest for each in own))
+    add_strikes(routers[0], FATAL, 2)
+    services = [router.box.find("quarantine") for router in routers]
+    support.wait_for(
+        lambda: all(each.digest == services[0].digest for each in services)
+    )
+    support.wait_for(
+        lambda: all(each.stored.digest == services[0].digest for each in services)
+    )
     writes = place.store.calls_by_kind
     kind = "celeryspan-quarantine"
     assert writes[f"POST {kind}"] + writes[f"PUT {kind}"] == 1
 
 
-def test_old_word_on_the_store_is_not_told_on(place) -> None:
-    """Guards against two words on the store that chase each other for ever."""
+def test_outdated_stored_fact_is_ignored(place) -> None:
+    """Guards against two contradictory facts that the fleet gossips for ever."""
     place.add_server("gate-1")
     router = place.start_router()
-    known = router.box.find("quarantine")
-    known.note_stored(messages.SuspectsStored(1, 20))
-    known.note_stored(messages.SuspectsStored(2, 10))
-    assert known.stored == messages.SuspectsStored(1, 20)
-    support.wait_for(lambda: not known._gossip)
+    service = router.box.find("quarantine")
+    service.record_stored(messages.SuspectsStored(1, 20))
+    service.record_stored(messages.SuspectsStored(2, 10))
+    assert service.stored == messages.SuspectsStored(1, 20)
+    support.wait_for(lambda: not service._gossip)
 
 
-def test_record_of_another_writer_does_no_harm(place) -> None:
+def test_invalid_stored_object_is_replaced(place) -> None:
     place.add_server("gate-1")
     place.store.put("celeryspan-quarantine", "main", {"requests": [{"what": 1}]})
     router = place.start_router()
-    blame(router, FATAL, 3)
-    quarantined = router.box.find("quarantine")
-    support.wait_for(lambda: quarantined.stored.digest == quarantined.digest)
+    add_strikes(router, FATAL, 3)
+    service = router.box.find("quarantine")
+    support.wait_for(lambda: service.stored.digest == service.digest)
     (row,) = place.store.find("celeryspan-quarantine", "main")["spec"]["requests"]
-    assert row["fingerprint"] == str(fingerprint(router, FATAL))
+    assert row["fingerprint"] == str(compute_fingerprint(router, FATAL))
 
 
-def test_answer_at_one_router_acquits_at_all(place) -> None:
-    """Guards against requests that are held though servers answer them."""
+def test_acquittal_at_one_router_applies_at_all(place) -> None:
+    """Guards against restricting requests that servers answer."""
     place.add_server("gate-1")
     routers = start_fleet(place)
-    blame(routers[0], b"fine", 2)
+    add_strikes(routers[0], b"fine", 2)
     support.wait_for(lambda: find_standing(routers[1], b"fine") is Standing.ISOLATED)
     assert routers[1].call("/bookings/1", body=b"fine").status == 200
     support.wait_for(lambda: find_standing(routers[0], b"fine") is Standing.CLEAR)
 
 
-def test_copy_that_waits_is_refused_once_the_request_is_held(place) -> None:
-    """Guards against a request that was queued when the verdict came."""
+def test_waiting_copy_is_refused_once_the_request_is_quarantined(place) -> None:
+    """Guards against sending a copy that was queued before the quarantine."""
     server = place.add_server("gate-1")
     router = place.start_router()
-    blame(router, FATAL, 2)
+    add_strikes(router, FATAL, 2)
     server.script.append("silent")
     answers: list = []
 
@@ -201,7 +206,7 @@
     waiting = threading.Thread(target=call, args=("r2",))
     waiting.start()
     support.wait_for(lambda: router.box.find("places").report()["waiting"] == 1)
-    blame(router, FATAL, 3)
+    add_strikes(router, FATAL, 3)
     waiting.join()
     assert [answer.status for answer in answers] == [429]
     assert server.ran == ["r1"]
@@ -210,19 +215,19 @@
 
 
 class CutStream(test_migrations.Moving):
-    """A stream in progress that may be cut."""
+    """A stream in progress that may end early."""
 
     def _ask(self, path: str) -> None:
         try:
             super()._ask(path)
         except http.client.HTTPException:
-            self.answers.append(CUT)
+            self.answers.append(CUT_ANSWER)
 
 
-def test_moved_run_is_not_resumed_once_the_request_is_held(place) -> None:
-    """Guards against a copy of a request's memory that crashes one more server."""
+def test_migrating_run_is_not_resumed_once_the_request_is_quarantined(place) -> None:
+    """Guards against a run that migrates and crashes its target server as well."""
     moving = CutStream(place, "/drafts/1")
-    blame(moving.router, b"asked", 3, "/drafts/1")
+    add_strikes(moving.router, b"asked", 3, "/drafts/1")
     moving.move()
     assert moving.finish() == []
     assert moving.target.resumed == []
@@ -230,43 +235,43 @@
     assert moving.target.ran == []
 
 
-def test_innocents_beside_a_crash_are_acquitted_by_their_next_answer(place) -> None:
+def test_request_that_ran_during_a_crash_is_acquitted_by_its_next_answer(place) -> None:
     servers = crashing.CrashingServers(place.store, "planner", 2, {FATAL})
     try:
         for server in servers.servers:
             server.event_seconds = 0.1
         router = place.start_router()
-        innocent = threading.Thread(
+        bystander = threading.Thread(
             target=router.call,
             args=("/drafts/2", "r1"),
-            kwargs={"body": b"innocent"},
+            kwargs={"body": b"harmless"},
             daemon=True,
         )
-        innocent.start()
+        bystander.start()
         support.wait_for(lambda: any(each.ran for each in servers.servers))
         busy = next(each for each in servers.servers if each.ran)
         busy.crash()
-        innocent.join()
+        bystander.join()
         support.wait_for(
             lambda: len(router.box.find("quarantine").list_suspects()) == 1
         )
         # The first answer may have ended before the crash was known.
-        assert router.call("/drafts/2", "r2", body=b"innocent").status == 200
+        assert router.call("/drafts/2", "r2", body=b"harmless").status == 200
         support.wait_for(
-            lambda: find_standing(router, b"innocent", "/drafts/2") is Standing.CLEAR
+            lambda: find_standing(router, b"harmless", "/drafts/2") is Standing.CLEAR
         )
     finally:
         servers.stop()
 
 
-def test_nothing_is_hashed_while_nothing_is_suspected(place, monkeypatch) -> None:
-    """Guards against a price for every request of what one in millions needs."""
+def test_no_request_is_hashed_while_there_are_no_suspects(place, monkeypatch) -> None:
+    """Guards against hashing every request for the sake of very few suspects."""
     place.add_server("gate-1")
     router = place.start_router()
-    watch = router.box.find("crashwatch")
+    crash_watch = router.box.find("crashwatch")
     hashed: list[object] = []
-    monkeypatch.setattr(watch, "compute_scope", hashed.append)
-    monkeypatch.setattr(watch, "compute_fingerprint", hashed.append)
+    monkeypatch.setattr(crash_watch, "compute_scope", hashed.append)
+    monkeypatch.setattr(crash_watch, "compute_fingerprint", hashed.append)
     for number in range(5):
         assert router.call("/bookings/1", f"r{number}").status == 200
     assert hashed == []
