--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -64,7 +64,7 @@
         self._catalogues: catalogues.CataloguesService = box.find("catalogues")
         self._channels: channels.Channels = box.find("channels")
         self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
-        self._places: places.Places = box.find("places")
+        self._places: places.SlotClient = box.find("places")
         self._quarantine: quarantines.QuarantineService = box.find("quarantine")
         self._budgets: budgets.RetryBudgets = box.find("budgets")
         self._migrations: migrations.Migrations = box.find("migrations")
@@ -117,7 +117,7 @@
 
     def _acquire_place(
         self, order: orders.Order, progress: requestprogress.Progress
-    ) -> places.Place | None:
+    ) -> places.Slot | None:
         """Return a place, or None if an earlier server error is to be returned."""
         order.presence.watch(lambda: self._places.cancel(order.request))
         try:
@@ -166,7 +166,7 @@
     def _attempt(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
@@ -187,7 +187,7 @@
                 order, place.server, progress, channel, until, source=place.source
             )
             ending = self._relay_reply(order, place, progress, reply, sink)
-            self._quarantine.note_answered(order, progress)
+            self._quarantine.record_answered(order, progress)
         except backend.Declined as declined:
             gone = states.RunEnding.GONE
             ending = gone if declined.leaving else states.RunEnding.REJECTED
@@ -197,7 +197,7 @@
             if not order.presence.gone:
                 if self._sender.resume(order, place, progress, sink):
                     ending = states.RunEnding.ANSWERED
-                    self._quarantine.note_answered(order, progress)
+                    self._quarantine.record_answered(order, progress)
                     return True
                 ending = states.RunEnding.FAILED
                 self._report_lost_answer(order, channel, progress, lost)
@@ -219,7 +219,7 @@
     def _open_channel(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
     ) -> channels.Channel | None:
         """Return a channel to the server, or None to try another server.
@@ -260,7 +260,7 @@
     def _check_before_send(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         channel: channels.Channel,
     ) -> None:
@@ -296,9 +296,9 @@
         except ConnectionAbortedError:
             self._release_unused(place, channel)
             raise
-        self._quarantine.note_sent(order, progress)
+        self._quarantine.record_sent(order, progress)
 
-    def _release_unused(self, place: places.Place, channel: channels.Channel) -> None:
+    def _release_unused(self, place: places.Slot, channel: channels.Channel) -> None:
         """Close a connection that was not used and release the place."""
         channel.close()
         self._places.end(place, states.RunEnding.UNUSED)
@@ -306,7 +306,7 @@
     def _relay_reply(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         reply: replies.Reply,
         sink: orders.Sink,
@@ -338,10 +338,10 @@
 
         A suspected request waits for the result before it may be retried.
         """
-        self._crashwatch.note_loss(order, channel.entry, progress, lost)
+        self._crashwatch.record_loss(order, channel.entry, progress, lost)
         standing = self._quarantine.find_standing(order, progress)
         if standing is not quarantine.Standing.CLEAR:
-            self._crashwatch.wait_settled(channel.entry)
+            self._crashwatch.wait_for_probe(channel.entry)
 
     def _write_server_failure(
         self, order: orders.Order, progress: requestprogress.Progress, sink: orders.Sink
--- a/celeryspan/gateway/migrations.py
+++ b/celeryspan/gateway/migrations.py
@@ -62,7 +62,7 @@
     def __init__(self, box: kernel.Kernel) -> None:
         self._budgets: budgets.RetryBudgets = box.find("budgets")
         self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._places: places.Places = box.find("places")
+        self._places: places.SlotClient = box.find("places")
         self._servers: serverlists.ServersService = box.find("servers")
         self._client = engines.EngineClient()
 
@@ -74,7 +74,7 @@
         """Close the connections to engines."""
         self._client.close()
 
-    def take_copy(self, place: places.Place) -> Migration | None:
+    def take_copy(self, place: places.Slot) -> Migration | None:
         """Return the migration of a run whose stream has ended, if it was stopped."""
         migration = place.migration
         if migration is None or migration.wait_for_copy() is None:
@@ -82,7 +82,7 @@
         place.migration = None
         return migration
 
-    def discard(self, place: places.Place) -> None:
+    def discard(self, place: places.Slot) -> None:
         """Free a copy that will not be resumed because the attempt has ended."""
         migration, place.migration = place.migration, None
         if migration is None:
@@ -94,7 +94,7 @@
     def _handle_move(
         self, home: ids.RouterId, _: ids.Incarnation, move: messages.RunMove
     ) -> None:
-        place = self._places.find_held(move.request)
+        place = self._places.find_slot(move.request)
         migration = self._start(place, move) if place is not None else None
         if place is None or migration is None:
             not_moved = messages.RunMoved(
@@ -106,7 +106,7 @@
             target=self._copy, args=(place, migration), name="move", daemon=True
         ).start()
 
-    def _start(self, place: places.Place, move: messages.RunMove) -> Migration | None:
+    def _start(self, place: places.Slot, move: messages.RunMove) -> Migration | None:
         usable = self._servers.usable()
         source, target = usable.get(move.server), usable.get(move.target)
         if place.server != move.server or place.migration is not None:
@@ -119,7 +119,7 @@
         place.migration = Migration(source, target)
         return place.migration
 
-    def _copy(self, place: places.Place, migration: Migration) -> None:
+    def _copy(self, place: places.Slot, migration: Migration) -> None:
         began = time.monotonic()
         error = ""
         try:
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -44,7 +44,7 @@
         self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
         self._quarantine: quarantines.QuarantineService = box.find("quarantine")
         self._migrations: migrations.Migrations = box.find("migrations")
-        self._places: places.Places = box.find("places")
+        self._places: places.SlotClient = box.find("places")
         self._servers: serverlists.ServersService = box.find("servers")
 
     def start(self) -> None:
@@ -130,7 +130,7 @@
     def relay_stream(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         reply: replies.Reply,
         sink: orders.Sink,
@@ -157,7 +157,7 @@
     def resume(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         sink: orders.Sink,
     ) -> bool:
@@ -177,7 +177,7 @@
                     order, entry, progress, moved_from
                 )
             except backend.AnswerLost as lost:
-                self._crashwatch.note_loss(order, entry, progress, lost)
+                self._crashwatch.record_loss(order, entry, progress, lost)
                 _log_resumption(order, progress, entry.server, str(lost))
                 continue
             except (backend.Declined, errors.NotRun) as error:
@@ -208,7 +208,7 @@
         """
         self._quarantine.check(order, progress)
         channel = self._channels.open(entry, at_most_once=True)
-        self._quarantine.note_sent(order, progress)
+        self._quarantine.record_sent(order, progress)
         order.presence.watch(channel.make_abort_callback())
         try:
             reply = self.send(
@@ -226,7 +226,7 @@
     def _relay_rest(
         self,
         order: orders.Order,
-        place: places.Place,
+        place: places.Slot,
         progress: requestprogress.Progress,
         reply: replies.Reply,
         channel: channels.Channel,
@@ -238,7 +238,7 @@
             self.relay_stream(order, place, progress, reply, sink)
             is_whole = True
         except backend.AnswerLost as lost:
-            self._crashwatch.note_loss(order, channel.entry, progress, lost)
+            self._crashwatch.record_loss(order, channel.entry, progress, lost)
             _log_resumption(order, progress, channel.server, str(lost))
         finally:
             if is_whole:
