--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -184,7 +184,7 @@
             return
         if self.now < self._fetching.get(name, 0.0):
             return
-        self._fetching[name] = self.now + configuration.REQUEST_SECONDS
+        self._fetching[name] = self.now + configuration.REQUEST_TIMEOUT_SECONDS
         self._at(
             FETCH_SECONDS,
             lambda: self.put_in_force(name, self._generations[peer].current),
@@ -216,7 +216,7 @@
 
 def count_store_calls(size: int) -> float:
     """Return the fleet's calls a second, each router on its own schedule."""
-    watches = watchers.WATCHERS / configuration.WATCH_SECONDS
+    watches = watchers.WATCHERS / configuration.WATCH_TIMEOUT_SECONDS
     checks = max(0, size - watchers.WATCHERS) / watchers.check_seconds(size)
     lists = vmlist.POLLERS / vmlist.POLL_SECONDS
     lease = pressures.CANDIDATES / leases.RENEW_SECONDS
--- a/celeryspan/gateway/catalogues.py
+++ b/celeryspan/gateway/catalogues.py
@@ -58,7 +58,7 @@
         """Begin to follow the store and the peers."""
         self._links.subscribe(messages.ConfigurationRequest, self._answer)
         self._links.subscribe(messages.ConfigurationValue, self._take_value)
-        self._membership.on_ahead(self._ask)
+        self._membership.on_newer_generation(self._ask)
         self._relays.join(self._follower)
         self._follower.start(self._relays)
 
@@ -139,7 +139,7 @@
             if now < max(self._asked_until, since + BEHIND_SECONDS):
                 return
             self._asked_until = now + REQUEST_SECONDS
-        self._links.learn(member.router, member.peer_address)
+        self._links.set_address(member.router, member.peer_address)
         request = messages.ConfigurationRequest(ids.Generation(above))
         self._links.send(member.router, request)
 
--- a/celeryspan/gateway/directory.py
+++ b/celeryspan/gateway/directory.py
@@ -125,7 +125,7 @@
     def list_addresses(self, data_centre: str | None) -> list[str]:
         """Return the addresses of the routers to use, nearest first."""
         now = time.monotonic()
-        known = self._membership.list_beliefs()
+        known = self._membership.list_records()
         if self.is_ready():
             known.append(membertable.MemberRecord(self._membership.own(), 0.0))
         found = callerlists.choose_addresses(known, data_centre, now, self._random)
--- a/celeryspan/gateway/relays.py
+++ b/celeryspan/gateway/relays.py
@@ -108,7 +108,7 @@
         """Take in the routers that the store lists, which may long be gone."""
         for router, entry in listed.items():
             if self._membership.find(router) is None:
-                self._links.learn(router, entry.peer_address)
+                self._links.set_address(router, entry.peer_address)
         self._listed = {router: entry.data_centre for router, entry in listed.items()}
         self._is_settled |= not self._has_seeds or len(listed) > 1
         self._note_change()
--- a/celeryspan/services/configuration.py
+++ b/celeryspan/services/configuration.py
@@ -1,8 +1,8 @@
-"""The kernel service ``configuration``: the generation in force on this router.
+"""The kernel service ``configuration``: the configuration that this router applies.
 
-Few routers watch the store. Every datagram of the membership shows its sender's
-generation; a router that sees a higher one asks that peer for it over a link, puts it
-in force and shows it to a few others at once.
+Only a few routers watch the store. Every membership datagram carries the generation of
+its sender. A router that sees a higher one requests it from that peer over a link,
+applies it and announces it to a few other routers at once.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 DUTY = "configuration"
 
-WATCH_SECONDS = 30.0
-"""How long one watch waits before it is asked again, in seconds."""
+WATCH_TIMEOUT_SECONDS = 30.0
+"""Maximum wait of one long-poll watch of the store."""
 
-PAUSE_SECONDS = 0.5
-"""Between two looks at whether this router should call the store."""
+TICK_SECONDS = 0.5
+"""Time between two checks whether this router should call the store."""
 
-PEERS_FIRST_SECONDS = 2.0
-"""A router without configuration asks the store after a random time up to this one:
-if a whole fleet restarts, most hear from a peer before their time has come."""
+FIRST_READ_DELAY_MAX_SECONDS = 2.0
+"""Maximum of the random delay before a router without a configuration reads the store:
+if a whole fleet restarts, most routers get the configuration from a peer first."""
 
-REQUEST_SECONDS = 1.0
-"""After this long without an answer another peer may be asked."""
+REQUEST_TIMEOUT_SECONDS = 1.0
+"""Time without an answer after which another peer may be asked."""
 
 
 @kernel.register(DUTY, needs=("identity", "store", "links", "membership"))
 class ConfigurationService:
-    """Holds the configuration in force; follows the store and the peers."""
+    """Holds the applied configuration; takes newer ones from the store and peers."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._identity: identity.IdentityService = box.find("identity")
@@ -56,25 +56,25 @@
         self._version = 0
         self._lock = threading.Lock()
         self._stopped = threading.Event()
-        self._thread = threading.Thread(target=self._follow, name=DUTY, daemon=True)
+        self._thread = threading.Thread(target=self._run, name=DUTY, daemon=True)
 
     def start(self) -> None:
-        """Begin to follow; does not wait for a first generation."""
-        self._links.subscribe(messages.ConfigurationRequest, self._answer)
-        self._links.subscribe(messages.ConfigurationValue, self._take_value)
-        self._membership.on_ahead(self._ask)
+        """Start the background thread; does not wait for a first generation."""
+        self._links.subscribe(messages.ConfigurationRequest, self._answer_request)
+        self._links.subscribe(messages.ConfigurationValue, self._handle_value)
+        self._membership.on_newer_generation(self._request_from_peer)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop following; a waiting watch ends by itself."""
+        """Stop the background thread; a waiting watch ends on its own."""
         self._stopped.set()
 
     def current(self) -> configuration.Configuration | None:
-        """Return the configuration in force, or None: then serve nothing."""
+        """Return the applied configuration, or None: then the router serves nothing."""
         return self._current
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with each configuration put in force, and with this one."""
+        """Call a handler with the current configuration and each one applied later."""
         with self._lock:
             self._handlers.append(handler)
             current = self._current
@@ -82,36 +82,36 @@
             handler(current)
 
     def report(self) -> dict[str, object]:
-        """Return generation, author and whether this router watches the store."""
+        """Return the generation, its author and whether this router is a watcher."""
         current = self._current
         return {
             "generation": self._generations.current,
             "author": current.author if current is not None else "",
-            "watches": self._watches(),
+            "watches": self._is_watcher(),
         }
 
     def offer(self, value: configuration.Configuration, body: bytes) -> bool:
-        """Put a configuration in force if its generation is higher.
+        """Apply a configuration if its generation is higher; return whether it was.
 
         Parameters
         ----------
         body : bytes
-            The same configuration as :func:`documents.pack` gives it, for peers.
+            The same configuration, serialized by :func:`documents.pack`, for peers.
         """
         generation = ids.Generation(value.generation)
         with self._lock:
-            verdict = self._generations.evaluate(generation)
+            result = self._generations.evaluate(generation)
             if self._generations.apply(generation):
                 self._current, self._body = value, body
             handlers = list(self._handlers)
-        if verdict is generations.OfferResult.OLD:
+        if result is generations.OfferResult.OLD:
             events.log(events.Event.CONFIGURATION_OLD_IGNORED, generation=generation)
-        if verdict is not generations.OfferResult.APPLY:
+        if result is not generations.OfferResult.APPLY:
             return False
-        self._put_in_force(value, handlers)
+        self._apply(value, handlers)
         return True
 
-    def _put_in_force(
+    def _apply(
         self, value: configuration.Configuration, handlers: list[Handler]
     ) -> None:
         generation = ids.Generation(value.generation)
@@ -124,20 +124,20 @@
         for handler in handlers:
             handler(value)
 
-    def _ask(self, member: messages.Member) -> None:
-        """Ask a peer that shows a higher generation for it, one peer at a time."""
+    def _request_from_peer(self, member: messages.Member) -> None:
+        """Request a higher generation from the peer that has it, one peer at a time."""
         now = time.monotonic()
         with self._lock:
             if member.generation <= self._generations.current:
                 return
             if now < self._requested_until:
                 return
-            self._requested_until = now + REQUEST_SECONDS
+            self._requested_until = now + REQUEST_TIMEOUT_SECONDS
             above = self._generations.current
-        self._links.learn(member.router, member.peer_address)
+        self._links.set_address(member.router, member.peer_address)
         self._links.send(member.router, messages.ConfigurationRequest(above))
 
-    def _answer(
+    def _answer_request(
         self,
         peer: ids.RouterId,
         _: ids.Incarnation,
@@ -148,7 +148,7 @@
         if generation > request.above:
             self._links.send(peer, messages.ConfigurationValue(generation, body))
 
-    def _take_value(
+    def _handle_value(
         self,
         peer: ids.RouterId,
         _: ids.Incarnation,
@@ -163,28 +163,30 @@
         with self._lock:
             self._requested_until = 0.0
 
-    def _follow(self) -> None:
-        """Watch the store if that falls to this router, or look rarely."""
-        check_at = time.monotonic() + self._random.uniform(0, PEERS_FIRST_SECONDS)
-        while not self._stopped.wait(PAUSE_SECONDS):
-            watches = self._current is not None and self._watches()
-            if not watches and time.monotonic() < check_at:
+    def _run(self) -> None:
+        """Watch the store if this router is a watcher; otherwise read it rarely."""
+        read_at = time.monotonic() + self._random.uniform(
+            0, FIRST_READ_DELAY_MAX_SECONDS
+        )
+        while not self._stopped.wait(TICK_SECONDS):
+            watches = self._current is not None and self._is_watcher()
+            if not watches and time.monotonic() < read_at:
                 continue
             try:
-                self._read_store(WATCH_SECONDS if watches else 0.0)
+                self._read_store(WATCH_TIMEOUT_SECONDS if watches else 0.0)
             except errors.InputError as error:
                 events.log(events.Event.CONFIGURATION_REFUSED, error=str(error))
             except errors.StoreError:
-                pass  # The service ``store`` logs it; its breaker spreads attempts.
-            check_at = time.monotonic() + self._draw_wait()
+                pass  # The service ``store`` logs it; its breaker spaces out retries.
+            read_at = time.monotonic() + self._draw_read_delay()
 
-    def _draw_wait(self) -> float:
+    def _draw_read_delay(self) -> float:
         if self._current is None:
-            return self._random.uniform(0, PEERS_FIRST_SECONDS)
+            return self._random.uniform(0, FIRST_READ_DELAY_MAX_SECONDS)
         mean = watchers.check_seconds(len(self._membership.alive()))
         return mean * self._random.uniform(0.5, 1.5)
 
-    def _watches(self) -> bool:
+    def _is_watcher(self) -> bool:
         present = [
             member.router
             for member in self._membership.alive()
@@ -200,18 +202,19 @@
         if found is None:
             return
         try:
-            self._take_index(documents.Index.decode(found[0]))
+            self._apply_index(documents.Index.decode(found[0]))
         except errors.InputError:
-            self._version = found[1]  # Else its watch would answer at once, for ever.
+            # Otherwise every watch would return this version at once, in a busy loop.
+            self._version = found[1]
             raise
         self._version = max(self._version, found[1])
 
-    def _take_index(self, index: documents.Index) -> None:
-        verdict = self._generations.evaluate(index.generation)
-        if verdict is generations.OfferResult.APPLY:
+    def _apply_index(self, index: documents.Index) -> None:
+        result = self._generations.evaluate(index.generation)
+        if result is generations.OfferResult.APPLY:
             body = self._read_chunks(index)
             self.offer(documents.unpack(body), body)
-        elif verdict is generations.OfferResult.OLD:
+        elif result is generations.OfferResult.OLD:
             events.log(
                 events.Event.CONFIGURATION_OLD_IGNORED, generation=index.generation
             )
--- a/celeryspan/services/identity.py
+++ b/celeryspan/services/identity.py
@@ -1,4 +1,4 @@
-"""The kernel service ``identity``: the name and the incarnation of this router."""
+"""The kernel service ``identity``: the name and incarnation of this router."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @kernel.register("identity")
 class IdentityService:
-    """Says which life of which router this process is.
+    """Identifies this process as one incarnation of a router.
 
     Attributes
     ----------
     router : RouterId
         Name of the router.
     incarnation : Incarnation
-        Microseconds of the clock at the start: a VM keeps nothing, so that only the
-        clock tells a new life from the one before.
+        Wall clock at the start, in microseconds. A VM keeps no state, so only the
+        clock distinguishes a restarted router from its predecessor.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
@@ -25,17 +25,17 @@
         self.incarnation = ids.Incarnation(time.time_ns() // 1000)
 
     def start(self) -> None:
-        """Nothing to begin."""
+        """Do nothing; the service has no background work."""
 
     def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing; the service has no background work."""
 
-    def outdo(self, other: ids.Incarnation) -> None:
-        """Take a higher incarnation than another one of this name.
+    def raise_incarnation(self, other: ids.Incarnation) -> None:
+        """Raise the incarnation above another one reported for this router.
 
-        The clock of a VM may be set back between two lives. The fleet then holds the
-        new life for an old one, whose messages count for nothing, until the clock has
-        caught up; taking the next number after the one heard ends that at once.
+        The clock of a VM may be set back between two starts. The other routers then
+        treat the new process as an old incarnation and ignore its messages until the
+        clock has caught up. Taking the next higher number ends that at once.
         """
         if other >= self.incarnation:
             self.incarnation = ids.Incarnation(other + 1)
--- a/celeryspan/services/links.py
+++ b/celeryspan/services/links.py
@@ -1,4 +1,4 @@
-"""The kernel service ``links``: messages to and from other routers over TCP."""
+"""The kernel service ``links``: messages between routers over TCP connections."""
 
 from __future__ import annotations
 
@@ -16,58 +16,66 @@
 
 Handler = Callable[[ids.RouterId, ids.Incarnation, messages.Message], None]
 
-UNPROVEN_MAX = 64
-"""Connections that may be proving themselves at once; a stranger who opens more is
-closed at once and can't use up the threads."""
+INBOUND_HANDSHAKES_MAX = 64
+"""Maximum concurrent handshakes of inbound connections. Further connections are closed
+at once, so that an unauthenticated client can't exhaust the threads."""
 
-BACKLOG = 256
+LISTEN_BACKLOG = 256
 
-WORKED_SECONDS = 1.0
-"""A link that ended sooner counts as a failed attempt."""
+STABLE_LINK_SECONDS = 1.0
+"""A link that ended sooner than this counts as a failed attempt."""
 
-FORGET_SECONDS = 60.0
-"""An outbox without link is given up after this long, with what it holds."""
+OUTBOX_TIMEOUT_SECONDS = 60.0
+"""Time without a link after which an outbox is discarded with its messages."""
 
 
 class Peer:
-    """The outbox of one peer and the connection that empties it, if there is one."""
+    """The outbox of one peer and its current connection, if any.
+
+    Attributes
+    ----------
+    is_maintained : bool
+        Whether a thread of this side opens links to the peer.
+    """
 
     def __init__(self) -> None:
         self.outbox = outbox.Outbox()
         self.connection: connections.Connection | None = None
-        self.opening = False
+        self.is_maintained = False
         self.failures = 0
 
 
 @kernel.register("links", needs=("identity",))
 class LinksService:
-    """Sends messages to peers; opens a link at the first and closes it when idle."""
+    """Sends messages to peers over links that open on demand and close when idle."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._identity: identity.IdentityService = box.find("identity")
         self._keys = box.settings.fleet_keys
         self._address = ids.Address.parse(box.settings.peer_address)
-        self._generator = random.Random(self._identity.incarnation)
+        self._random = random.Random(self._identity.incarnation)
         self._traffic = traffic.Traffic()
         self._lock = threading.Lock()
         self._peers: dict[ids.RouterId, Peer] = {}
         self._addresses: dict[ids.RouterId, ids.Address] = {}
         self._handlers: dict[type, list[Handler]] = collections.defaultdict(list)
-        self._unproven = threading.Semaphore(UNPROVEN_MAX)
+        self._inbound_handshakes = threading.Semaphore(INBOUND_HANDSHAKES_MAX)
         self._stopped = threading.Event()
         self._listener: socket.socket | None = None
 
     def start(self) -> None:
-        """Listen on the peer address."""
-        self._listener = socket.create_server(self._address, backlog=BACKLOG)
-        self._acceptor = self._run_task("links-accept", self._accept, self._listener)
+        """Start listening on the peer address."""
+        self._listener = socket.create_server(self._address, backlog=LISTEN_BACKLOG)
+        self._acceptor = self._start_thread(
+            "links-accept", self._accept, self._listener
+        )
 
     def stop(self) -> None:
-        """Close all links; what waits is given up.
+        """Close all links and discard the queued messages.
 
-        Closing a listener does not wake a thread that waits in ``accept``, which
-        keeps the port in use, so that a router started right after fails to bind;
-        the shutdown wakes it.
+        Closing a listener does not wake a thread that blocks in ``accept``. The port
+        would stay in use, and a router started right afterwards would fail to bind;
+        the shutdown wakes the thread.
         """
         self._stopped.set()
         if self._listener is not None:
@@ -79,13 +87,13 @@
                 if peer.connection is not None:
                     peer.connection.close()
 
-    def learn(self, peer: ids.RouterId, address: ids.Address) -> None:
-        """Note where a peer listens; membership calls this."""
+    def set_address(self, peer: ids.RouterId, address: ids.Address) -> None:
+        """Set the address at which a peer listens for links."""
         with self._lock:
             self._addresses[peer] = address
 
     def forget(self, peer: ids.RouterId) -> None:
-        """Give up the link to a router that is dead."""
+        """Drop the address of a dead router and close its link."""
         with self._lock:
             self._addresses.pop(peer, None)
             found = self._peers.get(peer)
@@ -93,18 +101,19 @@
                 found.connection.close()
 
     def subscribe(self, kind: type, handler: Handler) -> None:
-        """Call a handler with each message of a kind, in the task of its link."""
+        """Call a handler with each message of a type, in the thread of its link."""
         self._handlers[kind].append(handler)
 
     def send(
         self, peer: ids.RouterId, message: messages.Message, *, is_urgent: bool = False
     ) -> None:
-        """Put a message into the outbox of a peer; never waits for the peer.
+        """Queue a message for a peer; never blocks on the peer.
 
         Parameters
         ----------
         is_urgent : bool
-            Send it from here rather than let it wait for others in the link's task.
+            Send it from this thread at once instead of batching it in the link's
+            thread.
 
         Raises
         ------
@@ -112,22 +121,22 @@
             If the peer is this router itself.
         """
         if peer == self._identity.router:
-            raise ValueError("a router has no link to itself")
+            raise ValueError("a router cannot send a message to itself")
         with self._lock:
             found = self._peers.setdefault(peer, Peer())
             found.outbox.put(message, time.monotonic())
             connection = found.connection
-            opens = connection is None and not found.opening
-            found.opening = found.opening or opens
+            must_open = connection is None and not found.is_maintained
+            found.is_maintained = found.is_maintained or must_open
         if connection is not None and is_urgent:
             connection.flush(found.outbox, self._lock, self._traffic)
         elif connection is not None:
             connection.wake()
-        elif opens:
-            self._run_task(f"link-{peer}", self._open, peer)
+        elif must_open:
+            self._start_thread(f"link-{peer}", self._maintain_link, peer)
 
     def report(self) -> dict[str, object]:
-        """Return links, refused peers, and messages and bytes by kind."""
+        """Return the links, dropped messages, refused peers, and traffic by kind."""
         with self._lock:
             linked = sorted(
                 name for name, peer in self._peers.items() if peer.connection
@@ -135,14 +144,14 @@
             dropped = sum(peer.outbox.dropped for peer in self._peers.values())
         return {"links": linked, "dropped": dropped, **self._traffic.report()}
 
-    def _run_task(
+    def _start_thread(
         self, name: str, task: Callable, *arguments: object
     ) -> threading.Thread:
         thread = threading.Thread(target=task, args=arguments, name=name, daemon=True)
         thread.start()
         return thread
 
-    def _own(self) -> tuple[ids.RouterId, ids.Incarnation]:
+    def _local_identity(self) -> tuple[ids.RouterId, ids.Incarnation]:
         return self._identity.router, self._identity.incarnation
 
     def _accept(self, listener: socket.socket) -> None:
@@ -151,57 +160,60 @@
                 channel, address = listener.accept()
             except OSError:
                 if not self._stopped.is_set():
-                    time.sleep(0.1)  # Out of file descriptors: others will close.
+                    time.sleep(0.1)  # Out of file descriptors; wait until some close.
                 continue
-            if not self._unproven.acquire(blocking=False):
+            if not self._inbound_handshakes.acquire(blocking=False):
                 channel.close()
                 continue
-            self._run_task(f"link-from-{address[0]}", self._answer, channel, address)
+            self._start_thread(
+                f"link-from-{address[0]}", self._serve_inbound, channel, address
+            )
 
-    def _answer(self, channel: socket.socket, address: tuple[str, int]) -> None:
+    def _serve_inbound(self, channel: socket.socket, address: tuple[str, int]) -> None:
         channel.settimeout(connections.HANDSHAKE_TIMEOUT_SECONDS)
-        connection = connections.Connection(channel, self._own())
+        connection = connections.Connection(channel, self._local_identity())
         try:
             connection.handshake_as_acceptor(self._keys)
         except (errors.LinkError, OSError) as error:
-            self._refuse(f"{address[0]}:{address[1]}", error)
+            self._record_refusal(f"{address[0]}:{address[1]}", error)
             connection.release()
             return
         finally:
-            self._unproven.release()
-        self._drive(connection)
+            self._inbound_handshakes.release()
+        self._run_connection(connection)
 
-    def _open(self, name: ids.RouterId) -> None:
-        """Keep a link to a peer for as long as messages wait for it."""
+    def _maintain_link(self, name: ids.RouterId) -> None:
+        """Maintain a link to a peer for as long as messages are queued for it."""
         peer = self._peers[name]
-        give_up = time.monotonic() + FORGET_SECONDS
-        while not self._stopped.is_set() and time.monotonic() < give_up:
-            if self._run_once(name):
+        deadline = time.monotonic() + OUTBOX_TIMEOUT_SECONDS
+        while not self._stopped.is_set() and time.monotonic() < deadline:
+            if self._run_link(name):
                 peer.failures = 0
-                give_up = time.monotonic() + FORGET_SECONDS
+                deadline = time.monotonic() + OUTBOX_TIMEOUT_SECONDS
             else:
                 peer.failures += 1
-                delay = circuitbreaker.draw_delay(peer.failures, self._generator)
+                delay = circuitbreaker.draw_delay(peer.failures, self._random)
                 self._stopped.wait(delay)
             with self._lock:
                 if peer.connection is not None or not peer.outbox:
-                    peer.opening = False
+                    peer.is_maintained = False
                     return
         with self._lock:
             self._peers.pop(name, None)
 
-    def _run_once(self, name: ids.RouterId) -> bool:
-        """Connect and run the link; returns whether it worked for a while.
+    def _run_link(self, name: ids.RouterId) -> bool:
+        """Connect and run the link; return whether it lasted long enough to count.
 
-        A peer that refuses this side's proof closes after the handshake. Were that a
-        success, this side would connect again at once, thousands of times a second.
+        A peer that refuses this side's proof closes the connection only after the
+        handshake. If that counted as a success, this side would reconnect at once,
+        thousands of times a second.
         """
         connection = self._connect(name)
         if connection is None:
             return False
-        began = time.monotonic()
-        self._drive(connection)
-        return time.monotonic() - began > WORKED_SECONDS
+        began_at = time.monotonic()
+        self._run_connection(connection)
+        return time.monotonic() - began_at > STABLE_LINK_SECONDS
 
     def _connect(self, name: ids.RouterId) -> connections.Connection | None:
         with self._lock:
@@ -209,23 +221,23 @@
         if address is None:
             return None
         try:
-            connection = connections.open_connection(address, self._own())
+            connection = connections.open_connection(address, self._local_identity())
         except OSError:
             return None
         try:
             connection.handshake_as_initiator(self._keys, name)
         except (errors.LinkError, OSError) as error:
-            self._refuse(str(address), error)
+            self._record_refusal(str(address), error)
             connection.release()
             return None
         return connection
 
-    def _refuse(self, address: str, error: Exception) -> None:
+    def _record_refusal(self, address: str, error: Exception) -> None:
         self._traffic.refuse()
         events.log(events.Event.LINK_REFUSED, peer=address, error=str(error))
 
-    def _drive(self, connection: connections.Connection) -> None:
-        """Run one connection to its end, in this task."""
+    def _run_connection(self, connection: connections.Connection) -> None:
+        """Run one connection in this thread until it ends."""
         name = connection.peer
         with self._lock:
             peer = self._peers.setdefault(name, Peer())
@@ -236,7 +248,7 @@
                 peer.outbox, self._lock, self._dispatch, self._traffic
             )
         except errors.LinkError as error:
-            self._refuse(name, error)
+            self._record_refusal(name, error)
             reason = str(error)
         except OSError as error:
             reason = str(error)
@@ -252,13 +264,13 @@
         self._reopen(name)
 
     def _reopen(self, name: ids.RouterId) -> None:
-        """Replace an accepted link that failed while messages wait for its peer."""
+        """Replace a failed inbound link if messages are queued for its peer."""
         with self._lock:
             peer = self._peers.get(name)
-            if peer is None or peer.opening or peer.connection or not peer.outbox:
+            if peer is None or peer.is_maintained or peer.connection or not peer.outbox:
                 return
-            peer.opening = True
-        self._run_task(f"link-{name}", self._open, name)
+            peer.is_maintained = True
+        self._start_thread(f"link-{name}", self._maintain_link, name)
 
     def _dispatch(self, frame: messages.Frame) -> None:
         for message in frame.messages:
--- a/celeryspan/services/membership.py
+++ b/celeryspan/services/membership.py
@@ -1,4 +1,4 @@
-"""The kernel service ``membership``: which routers take part now."""
+"""The kernel service ``membership``: the routers that currently form the fleet."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 
 TICK_SECONDS = 0.1
 
-FAREWELLS = 3
-"""Times that a router which stops says so: one datagram in a hundred is lost."""
+DEAD_ANNOUNCEMENTS = 3
+"""Times that a stopping router announces its state DEAD: one datagram in a hundred is
+lost."""
 
 Handler = Callable[[list[messages.Member]], None]
 
@@ -32,7 +33,7 @@
 
 @kernel.register("membership", needs=("identity", "datagrams", "links"))
 class MembershipService:
-    """Runs the membership decision over datagrams, and exchanges over links."""
+    """Runs the membership protocol over datagrams, and full exchanges over links."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._identity: identity.IdentityService = box.find("identity")
@@ -40,34 +41,35 @@
         self._links: links.LinksService = box.find("links")
         self._settings_seeds = [ids.Address.parse(peer) for peer in box.settings.peers]
         self._decision = membership.Membership(
-            self._make_own(box.settings), random.Random(self._identity.incarnation)
+            self._make_own_member(box.settings),
+            random.Random(self._identity.incarnation),
         )
         self._decision.set_seeds(self._settings_seeds)
         self._lock = threading.Lock()
         self._alive = self._decision.alive()
         self._changed = False
         self._handlers: list[Handler] = []
-        self._ahead_handlers: list[Callable[[messages.Member], None]] = []
+        self._generation_handlers: list[Callable[[messages.Member], None]] = []
         self._stopped = threading.Event()
         self._thread = threading.Thread(
-            target=self._tick, name="membership", daemon=True
+            target=self._run, name="membership", daemon=True
         )
 
     def start(self) -> None:
-        """Begin to probe; the first peers are the seeds."""
-        self._datagrams.subscribe(self._take_frame)
-        self._links.subscribe(messages.Member, self._take_statement)
+        """Start probing, beginning with the seeds."""
+        self._datagrams.subscribe(self._handle_frame)
+        self._links.subscribe(messages.Member, self._handle_statement)
         self._links.subscribe(messages.MembersRequest, self._answer_request)
         self._thread.start()
 
     def stop(self) -> None:
-        """Say that this router is gone, and stop."""
+        """Stop probing and announce that this router has stopped."""
         self._stopped.set()
         self._thread.join()
-        for _ in range(FAREWELLS):
+        for _ in range(DEAD_ANNOUNCEMENTS):
             with self._lock:
                 actions = self._decision.leave(states.MemberState.DEAD)
-            self._carry_out(actions)
+            self._execute(actions)
 
     @property
     def incarnation(self) -> ids.Incarnation:
@@ -75,73 +77,73 @@
         return self._identity.incarnation
 
     def alive(self) -> list[messages.Member]:
-        """Return the routers that run, this one first; some may be leaving."""
+        """Return the reachable routers, this one first; some may be leaving."""
         return self._alive
 
     def find(self, router: ids.RouterId) -> messages.Member | None:
-        """Return what is believed about a router in whatever state, or None."""
+        """Return the member of this name in any state, or None."""
         with self._lock:
             if router == self._identity.router:
                 return self._decision.own
-            belief = self._decision.members.find(router)
-            return belief.member if belief is not None else None
+            record = self._decision.members.find(router)
+            return record.member if record is not None else None
 
     def members(self) -> list[messages.Member]:
-        """Return all beliefs, also about routers that are leaving or dead."""
+        """Return all members, including those that are leaving or dead."""
         with self._lock:
             return self._decision.list_members()
 
     def own(self) -> messages.Member:
-        """Return what this router says of itself."""
+        """Return the member that describes this router."""
         with self._lock:
             return self._decision.own
 
-    def list_beliefs(self) -> list[membertable.MemberRecord]:
-        """Return what is believed about all other routers, and since when."""
+    def list_records(self) -> list[membertable.MemberRecord]:
+        """Return the records of all other routers, with the times of their changes."""
         with self._lock:
             return self._decision.members.list_all()
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with the routers that take part whenever they change.
+        """Call a handler with the reachable routers whenever they change.
 
-        All calls come from one task, in the order of the changes.
+        All calls come from one thread, in the order of the changes.
         """
         self._handlers.append(handler)
 
     def leave(self) -> None:
-        """Say that this router begins a planned stop and takes no new part."""
+        """Announce that this router is leaving and takes no new work."""
         with self._lock:
             actions = self._decision.leave(states.MemberState.LEAVING)
             self._alive = self._decision.alive()
             self._changed = True
-        self._carry_out(actions)
+        self._execute(actions)
 
     def set_seeds(self, seeds: Iterable[ids.Address]) -> None:
-        """Set where the register says that routers should be."""
+        """Set the seeds from the register, besides those in the settings."""
         with self._lock:
             self._decision.set_seeds([*self._settings_seeds, *seeds])
 
     def set_generation(self, generation: ids.Generation) -> None:
-        """Set the generation in force, which rides on each datagram."""
+        """Set the applied generation, which is sent in each datagram."""
         with self._lock:
             self._decision.set_generation(generation)
 
     def set_busy(self, is_busy: bool) -> None:
-        """Say that this router's processor has no time left, or has some again."""
+        """Announce that this router's processor is saturated, or no longer is."""
         with self._lock:
             actions = self._decision.set_busy(is_busy)
-            self._refresh()
-        self._carry_out(actions)
+            self._process_changes()
+        self._execute(actions)
 
     def announce(self) -> None:
-        """Show this router's generation to a few random routers at once."""
+        """Send this router's generation to a few random routers at once."""
         with self._lock:
             actions = self._decision.spread_now()
-        self._carry_out(actions)
+        self._execute(actions)
 
-    def on_ahead(self, handler: Callable[[messages.Member], None]) -> None:
-        """Call a handler with each router that shows a higher generation."""
-        self._ahead_handlers.append(handler)
+    def on_newer_generation(self, handler: Callable[[messages.Member], None]) -> None:
+        """Call a handler with each router that reports a higher generation."""
+        self._generation_handlers.append(handler)
 
     def report(self) -> dict[str, object]:
         """Return each router's state, incarnation and generation, for ``status``."""
@@ -159,13 +161,13 @@
         }
 
     def spread(self, key: Hashable, fact: messages.Message) -> None:
-        """Pass on a fact on datagrams, the first few of them at once."""
+        """Gossip a fact; the first few datagrams are sent at once."""
         with self._lock:
             self._decision.gossip.put(key, fact)
             actions = self._decision.spread_now()
-        self._carry_out(actions)
+        self._execute(actions)
 
-    def _make_own(self, settings: object) -> messages.Member:
+    def _make_own_member(self, settings: object) -> messages.Member:
         return messages.Member(
             router=self._identity.router,
             incarnation=self._identity.incarnation,
@@ -178,37 +180,37 @@
             cores=getattr(settings, "cores", 1.0),
         )
 
-    def _tick(self) -> None:
+    def _run(self) -> None:
         while not self._stopped.wait(TICK_SECONDS):
             with self._lock:
                 actions = self._decision.tick(time.monotonic())
-                self._refresh()
-            self._carry_out(actions)
-            self._notify()
+                self._process_changes()
+            self._execute(actions)
+            self._call_handlers()
 
-    def _take_frame(self, frame: messages.Frame, source: ids.Address) -> None:
+    def _handle_frame(self, frame: messages.Frame, source: ids.Address) -> None:
         with self._lock:
             actions = self._decision.receive(
                 time.monotonic(), frame.sender, source, frame.messages
             )
-            self._refresh()
+            self._process_changes()
             generation = self._decision.own.generation
-        self._carry_out(actions)
+        self._execute(actions)
         for message in frame.messages:
             if isinstance(message, messages.Member) and message.router == frame.sender:
                 if message.generation > generation:
-                    for handler in self._ahead_handlers:
+                    for handler in self._generation_handlers:
                         handler(message)
 
-    def _take_statement(
+    def _handle_statement(
         self, peer: ids.RouterId, _: ids.Incarnation, message: messages.Member
     ) -> None:
         with self._lock:
             actions = self._decision.handle_statement(
                 message, time.monotonic(), peer, spread=False
             )
-            self._refresh()
-        self._carry_out(actions)
+            self._process_changes()
+        self._execute(actions)
 
     def _answer_request(
         self, peer: ids.RouterId, _: ids.Incarnation, __: messages.MembersRequest
@@ -216,7 +218,7 @@
         for member in self.members():
             self._links.send(peer, member)
 
-    def _carry_out(self, actions: list[statements.Action]) -> None:
+    def _execute(self, actions: list[statements.Action]) -> None:
         for action in actions:
             if isinstance(action, statements.Send):
                 self._datagrams.send(action.address, action.batch)
@@ -225,23 +227,25 @@
             for member in self.members():
                 self._links.send(action.peer, member)
 
-    def _refresh(self) -> None:
-        """Take out what has changed; the caller holds the lock."""
+    def _process_changes(self) -> None:
+        """Process the recorded changes; the caller holds the lock."""
         if not self._decision.changes:
             return
         for change, member in self._decision.changes:
-            self._note(change, member)
+            self._record_change(change, member)
         self._decision.changes.clear()
         self._alive = self._decision.alive()
         self._changed = True
 
-    def _note(self, change: statements.Change, member: messages.Member) -> None:
+    def _record_change(
+        self, change: statements.Change, member: messages.Member
+    ) -> None:
         if change is statements.Change.OUTDONE:
-            self._identity.outdo(ids.Incarnation(member.incarnation - 1))
+            self._identity.raise_incarnation(ids.Incarnation(member.incarnation - 1))
         elif change is statements.Change.DEAD:
             self._links.forget(member.router)
         elif member.router != self._identity.router:
-            self._links.learn(member.router, member.peer_address)
+            self._links.set_address(member.router, member.peer_address)
         events.log(
             EVENTS[change],
             router=member.router,
@@ -249,7 +253,7 @@
             is_busy=member.is_busy,
         )
 
-    def _notify(self) -> None:
+    def _call_handlers(self) -> None:
         if not self._changed:
             return
         self._changed = False
--- a/tests/services/test_links.py
+++ b/tests/services/test_links.py
@@ -25,8 +25,8 @@
             box = support.start_kernel(["links"], name, fleet_keys=fleet_keys)
             self.boxes.append(box)
         self.first, self.second = (box.find("links") for box in self.boxes)
-        self.first.learn("b", support.peer_address(self.boxes[1]))
-        self.second.learn("a", support.peer_address(self.boxes[0]))
+        self.first.set_address("b", support.peer_address(self.boxes[1]))
+        self.second.set_address("a", support.peer_address(self.boxes[0]))
         for kind in (messages.Demand, messages.Grant, messages.Probe):
             self.second.subscribe(kind, self._note)
 
@@ -141,7 +141,7 @@
     monkeypatch.setattr(connections, "SILENCE_TIMEOUT_SECONDS", 0.35)
     pair = make_pair()
     relay = Relay(support.peer_address(pair.boxes[1]))
-    pair.first.learn("b", ids.Address(*relay.address))
+    pair.first.set_address("b", ids.Address(*relay.address))
     pair.first.send("b", make_demand(3))
     support.wait_until(lambda: make_demand(3) in pair.received)
     relay.swallows = True
