--- a/celeryspan/services/drain.py
+++ b/celeryspan/services/drain.py
@@ -1,4 +1,4 @@
-"""The kernel service ``drain``: a stop that cuts nothing."""
+"""The kernel service ``drain``: graceful shutdown of a router."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
     from celeryspan import settings
     from celeryspan.services import caller, membership
 
-# Time in which all routers hear that this one leaves, in seconds: probes spread a
-# fact through a fleet of a thousand routers within a few rounds of a second.
-SPREAD_SECONDS = 3.0
+# Time until all routers know that this one is leaving: probes gossip a fact through a
+# fleet of a thousand routers in a few rounds of one second.
+LEAVE_SPREAD_SECONDS = 3.0
 
-# How often it is looked whether requests are in progress, in seconds.
-LOOK_SECONDS = 0.05
+# Interval of the checks for requests in progress.
+CHECK_INTERVAL_SECONDS = 0.05
 
-# Time for telling callers that their request was cut, in seconds.
-TELL_SECONDS = 1.0
+# Time to tell callers that their requests were cut.
+CANCEL_TIMEOUT_SECONDS = 1.0
 
 
 @kernel.register("drain", needs=("caller", "configuration", "membership"))
 class Drain:
-    """Brings a router to its end without cutting a request.
+    """Shuts a router down without cutting requests in progress.
 
     Attributes
     ----------
     finished : Event
-        Set once the process may end; set it to end at once.
+        Set once the process may exit; setting it ends the drain at once.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
@@ -39,59 +39,59 @@
         self._membership: membership.Membership = box.find("membership")
         self._configuration = box.find("configuration")
         self._lock = threading.Lock()
-        self._began = 0.0
+        self._began_at = 0.0
         self.finished = threading.Event()
 
     def start(self) -> None:
-        """Follow the planned stops in the rules."""
-        self._configuration.subscribe(self._follow)
+        """Watch the rules for a planned stop of this router."""
+        self._configuration.subscribe(self._drain_if_planned)
 
     def stop(self) -> None:
-        """Cut what is still in progress, and say what it was.
+        """Cancel the requests still in progress and log them.
 
-        Reached with requests in progress only by a second signal or after the
-        greatest time of a stop.
+        Requests are still in progress only after a second signal, or once
+        ``drain_seconds`` have passed.
         """
         self.finished.set()
         found = self._caller.cancel_in_progress()
         if not found:
             return
         events.log(events.Event.STOP_CUT_REQUESTS, requests=found)
-        end = time.monotonic() + TELL_SECONDS
-        while self._caller.in_progress and time.monotonic() < end:
-            time.sleep(LOOK_SECONDS)
+        deadline = time.monotonic() + CANCEL_TIMEOUT_SECONDS
+        while self._caller.in_progress and time.monotonic() < deadline:
+            time.sleep(CHECK_INTERVAL_SECONDS)
 
     def report(self) -> dict[str, object]:
-        """Return the state for the operator."""
-        seconds = time.monotonic() - self._began if self._began else 0.0
-        return {"draining": bool(self._began), "seconds": round(seconds, 1)}
+        """Return whether the router is draining, and for how long."""
+        seconds = time.monotonic() - self._began_at if self._began_at else 0.0
+        return {"draining": bool(self._began_at), "seconds": round(seconds, 1)}
 
     def begin(self) -> None:
-        """Stop gracefully and set ``finished``; a second call does nothing.
+        """Drain the router and set ``finished``; a second call does nothing.
 
-        Callers keep the answer of ``GET /v1/addresses`` for a while. Until it has
-        run out everywhere, this router serves whoever comes.
+        Callers cache the answer of ``GET /v1/addresses``. Until it has expired
+        everywhere, this router still serves new requests.
         """
         with self._lock:
-            if self._began:
+            if self._began_at:
                 return
-            self._began = time.monotonic()
-        end = self._began + self._settings.drain_seconds
+            self._began_at = time.monotonic()
+        deadline = self._began_at + self._settings.drain_seconds
         self._caller.draining = True
         self._membership.leave()
         self.finished.wait(
             min(
-                SPREAD_SECONDS + self._settings.address_seconds,
+                LEAVE_SPREAD_SECONDS + self._settings.address_seconds,
                 self._settings.drain_seconds,
             )
         )
         if not self.finished.is_set():
             self._caller.stop_listening()
-        while self._caller.in_progress and time.monotonic() < end:
-            if self.finished.wait(LOOK_SECONDS):
+        while self._caller.in_progress and time.monotonic() < deadline:
+            if self.finished.wait(CHECK_INTERVAL_SECONDS):
                 return
         self.finished.set()
 
-    def _follow(self, current: configuration.Configuration) -> None:
+    def _drain_if_planned(self, current: configuration.Configuration) -> None:
         if self._settings.router in current.rules.planned_stops:
             threading.Thread(target=self.begin, name="drain", daemon=True).start()
--- a/celeryspan/services/moves.py
+++ b/celeryspan/services/moves.py
@@ -40,7 +40,7 @@
     """Carries out what :class:`modelplacement.PlacementPlanner` decides."""
 
     def __init__(
-        self, client: store.StoreClient, emptying: drains.Drains, author: str
+        self, client: store.StoreClient, emptying: drains.ServerDrains, author: str
     ) -> None:
         self._client = client
         self._drains = emptying
@@ -132,7 +132,7 @@
         if server is None or now - progress.began_at > DRAIN_SECONDS:
             self.give_up()
             return
-        if self._drains.is_quiet(server, now):
+        if self._drains.drain(server, now):
             self._write(current, progress)
 
     def _write(self, current: configuration.Configuration, progress: Progress) -> None:
--- a/celeryspan/services/orders.py
+++ b/celeryspan/services/orders.py
@@ -54,7 +54,7 @@
         self._keeper = leasing.LeaseKeeper(self._store, pressures.DUTY, holder)
         self._client = orders.OrderClient()
         self._departures: vmlist.VMListService = box.find("vmlist")
-        self._drains = drains.Drains(self._departures)
+        self._drains = drains.ServerDrains(self._departures)
         self._mover = moves.Mover(self._store.client, self._drains, holder)
         self._limit: loading.LoadLimiter | None = None
         self._queue: collections.deque[ids.ServerId] = collections.deque()
@@ -96,7 +96,7 @@
         if not self._keeper.holds():
             self._limit = None
             self._mover.give_up()
-            self._drains.give_up()
+            self._drains.cancel()
             return
         if self._limit is None:
             self._limit = loading.LoadLimiter(time.monotonic())
@@ -140,11 +140,11 @@
         if not self._keeper.lease.may_order(now, checks_fence=server.checks_fence):
             return
         if kind is loading.OrderKind.LOAD:
-            if not self._drains.is_quiet(server, now):
+            if not self._drains.drain(server, now):
                 return
             if not self._limit.try_begin(server.name, now):
                 return
-            self._drains.note_ordered(ids.ServerId(server.name))
+            self._drains.mark_ordered(ids.ServerId(server.name))
         fence = self._keeper.lease.fence
         self._client.send(address, kind, wanted, fence)
         events.log(
--- a/tests/services/test_drain.py
+++ b/tests/services/test_drain.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture(autouse=True)
 def shorten(monkeypatch):
-    monkeypatch.setattr(drain, "SPREAD_SECONDS", 0.2)
+    monkeypatch.setattr(drain, "LEAVE_SPREAD_SECONDS", 0.2)
 
 
 def start_stream(router, answers):
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -88,7 +88,7 @@
         monkeypatch.setattr(leases, name, seconds)
     monkeypatch.setattr(loading, "LOAD_INTERVAL_SECONDS", 0.1)
     monkeypatch.setattr(orders_service, "ROUND_SECONDS", 0.05)
-    monkeypatch.setattr(drains, "QUIET_SECONDS", 0.1)
+    monkeypatch.setattr(drains, "IDLE_SECONDS", 0.1)
     monkeypatch.setattr(pressures, "REPORT_SECONDS", 0.2)
     for name in ("MIN_PRESSURE_SECONDS", "MOVE_INTERVAL_SECONDS"):
         monkeypatch.setattr(modelplacement, name, 0.5)
