--- a/celeryspan/services/__init__.py
+++ b/celeryspan/services/__init__.py
@@ -1,1 +1,1 @@
-"""Services of the kernel: the input and output around the decisions."""
+"""Kernel services: the I/O around the pure logic of :mod:`celeryspan.decisions`."""
--- a/celeryspan/services/datagrams.py
+++ b/celeryspan/services/datagrams.py
@@ -11,15 +11,17 @@
 from celeryspan.wire import codec, messages, proofs
 
 READ_BYTES = 65_536
-WAIT_SECONDS = 0.5
-"""How long the end of the service may wait for its task."""
+"""Receive buffer, larger than the largest UDP datagram."""
+
+RECEIVE_TIMEOUT_SECONDS = 0.5
+"""Receive timeout, and so the longest time that stopping waits for the thread."""
 
 Handler = Callable[[messages.Frame, ids.Address], None]
 
 
 @kernel.register("datagrams", needs=("identity",))
 class DatagramsService:
-    """Sends frames in datagrams, each with a keyed hash before it."""
+    """Sends and receives frames in datagrams, each prefixed with a keyed hash."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._identity: identity.IdentityService = box.find("identity")
@@ -30,29 +32,29 @@
         self._sequence = 0
         self._stopped = threading.Event()
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._socket.settimeout(WAIT_SECONDS)
+        self._socket.settimeout(RECEIVE_TIMEOUT_SECONDS)
         self._thread = threading.Thread(
             target=self._receive, name="datagrams", daemon=True
         )
 
     def start(self) -> None:
-        """Bind to the number of the peer port and begin to receive."""
+        """Bind the UDP socket to the peer address and start receiving."""
         self._socket.bind(self._address)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop receiving."""
+        """Stop receiving and close the socket."""
         self._stopped.set()
         if self._thread.is_alive():
             self._thread.join()
         self._socket.close()
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with each frame and where it came from."""
+        """Call a handler with each frame and its source address."""
         self._handlers.append(handler)
 
     def send(self, address: ids.Address, batch: Iterable[messages.Message]) -> None:
-        """Send messages in one datagram; it may be lost, also without an error."""
+        """Send messages in one datagram; it can be lost without an error."""
         self._sequence += 1
         own = (self._identity.router, self._identity.incarnation)
         frame = messages.Frame(*own, self._sequence, tuple(batch))
@@ -60,11 +62,11 @@
         try:
             self._socket.sendto(datagram, address)
         except OSError:
-            return  # No way to the peer now: the same as a datagram lost on its way.
+            return  # The peer is unreachable: equivalent to a lost datagram.
         self._traffic.count("sent", frame.messages, len(datagram))
 
     def report(self) -> dict[str, object]:
-        """Return refused datagrams, and messages and bytes by kind."""
+        """Return the refused datagrams, and messages and bytes by kind."""
         return self._traffic.report()
 
     def _receive(self) -> None:
@@ -74,11 +76,11 @@
             except TimeoutError:
                 continue
             except OSError:
-                continue  # A peer's port was closed; the next datagram may be well.
-            self._take(datagram, ids.Address(*source))
+                continue  # ICMP reported a closed peer port; the socket still works.
+            self._handle(datagram, ids.Address(*source))
 
-    def _take(self, datagram: bytes, source: ids.Address) -> None:
-        """Hand a datagram on; whatever is wrong with it ends here."""
+    def _handle(self, datagram: bytes, source: ids.Address) -> None:
+        """Verify a datagram and call the handlers; errors are logged, not raised."""
         try:
             frame = codec.decode(proofs.verify_datagram(self._keys, datagram))
         except errors.LinkError as error:
--- a/celeryspan/services/homes.py
+++ b/celeryspan/services/homes.py
@@ -165,7 +165,7 @@
     def _take_vote(
         self, router: ids.RouterId, _: ids.Incarnation, vote: messages.Vote
     ) -> None:
-        self._votes.cast(router, vote, time.monotonic())
+        self._votes.record(router, vote, time.monotonic())
 
     def _move(self, moves: tuple[homes.HomeChange, ...]) -> None:
         """Take over and give up servers."""
@@ -207,7 +207,7 @@
 
     def _use(self, router: ids.RouterId, used: messages.GrantUsed, now: float) -> None:
         self._ledger.mark_used(router, used, now)
-        self._votes.note_use(router, used.server, now)
+        self._votes.record_use(router, used.server, now)
 
     def _replay_early(self, server: ids.ServerId, now: float) -> None:
         for key in [key for key in self._early if key[0] == server]:
--- a/celeryspan/services/leasing.py
+++ b/celeryspan/services/leasing.py
@@ -1,4 +1,4 @@
-"""Keeps one lease in the object API for as long as this router is wanted for it."""
+"""Acquires and renews one lease in the object API while this router is a candidate."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 if TYPE_CHECKING:
     from celeryspan.services import store
 
-PREFIX = "leases/"
+KEY_PREFIX = "leases/"
 
 
 class LeaseKeeper:
-    """Makes the store calls that a lease asks for.
+    """Performs the store calls that :class:`leases.Lease` requires.
 
     Parameters
     ----------
     duty : str
-        Name of the duty; the key of the object.
+        Name of the duty, used as the key of the lease object.
     holder : str
         Name of this router and incarnation.
     """
@@ -30,19 +30,25 @@
         self.lease = leases.Lease(holder)
         self._store = service
         self._duty = duty
-        self._held = False
+        self._was_held = False
 
     def holds(self) -> bool:
-        """Whether this router holds the duty now."""
+        """Whether this router holds the lease now."""
         return self.lease.holds(time.monotonic())
 
     def step(self, *, wanted: bool) -> None:
-        """Make the next call of the store, if one is due."""
+        """Make the next store call, if one is due.
+
+        Parameters
+        ----------
+        wanted : bool
+            Whether this router is a candidate for the duty.
+        """
         call = self.lease.next_call(
             time.monotonic(), secrets.token_hex(8), wanted=wanted
         )
         try:
-            self._make(call)
+            self._execute(call)
         except errors.Conflict:
             self.lease.record_conflict()
         except errors.InputError as error:
@@ -50,11 +56,11 @@
         except errors.StoreNotAsked:
             self.lease.record_not_sent()
         except errors.StoreError:
-            pass  # The service ``store`` logs it; a write is read back before another.
-        self._note_change()
+            pass  # The service ``store`` logs it; a lost write is read back first.
+        self._log_change()
 
-    def _make(self, call: leases.Call) -> None:
-        key = PREFIX + self._duty
+    def _execute(self, call: leases.Call) -> None:
+        key = KEY_PREFIX + self._duty
         match call.operation:
             case leases.Operation.READ:
                 self._read(key)
@@ -75,9 +81,9 @@
         record = leases.Record.decode(value)
         self.lease.record_read(record, version, time.monotonic())
 
-    def _note_change(self) -> None:
+    def _log_change(self) -> None:
         holds = self.holds()
-        if holds != self._held:
-            self._held = holds
+        if holds != self._was_held:
+            self._was_held = holds
             event = events.Event.LEASE_TAKEN if holds else events.Event.LEASE_LOST
             events.log(event, duty=self._duty, fence=self.lease.fence)
--- a/celeryspan/services/vmlist.py
+++ b/celeryspan/services/vmlist.py
@@ -1,7 +1,8 @@
-"""The kernel service ``vmlist``: which backend servers are leaving.
+"""The kernel service ``vmlist``: the backend servers that are leaving.
 
-Two routers poll the platform's list for all; what they find, and what backend servers
-say themselves, goes to every router by gossip within seconds.
+Two routers poll the platform's VM list on behalf of the fleet. Their findings, and the
+states that backend servers report themselves, reach every router by gossip within
+seconds.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 DUTY = "vmlist"
 
 POLL_SECONDS = 5.0
-"""The list lags for longer than this anyway; two pollers make 0.4 calls a second."""
+"""Shorter than the lag of the list itself; two pollers make 0.4 calls a second."""
 
 POLLERS = 2
 
@@ -41,7 +42,7 @@
     DUTY, needs=("identity", "datagrams", "links", "membership", "configuration")
 )
 class VMListService:
-    """Holds the departures that this router knows of, and spreads them."""
+    """Holds the departures that this router knows of and gossips new ones."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._identity: identity.IdentityService = box.find("identity")
@@ -60,18 +61,18 @@
         self._thread = threading.Thread(target=self._run, name=DUTY, daemon=True)
 
     def start(self) -> None:
-        """Begin to listen, and to poll if that falls to this router."""
-        self._datagrams.subscribe(self._take_frame)
-        self._links.subscribe(messages.ServerFact, self._take_fact)
+        """Start receiving facts, and polling while this router is a poller."""
+        self._datagrams.subscribe(self._handle_frame)
+        self._links.subscribe(messages.ServerFact, self._handle_fact)
         self._links.subscribe(messages.MembersRequest, self._answer_request)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop polling; a poll under way ends by itself."""
+        """Stop polling; a poll in progress ends on its own."""
         self._stopped.set()
 
     def leaving(self) -> frozenset[ids.ServerId]:
-        """Return the backend servers that get no new work."""
+        """Return the leaving backend servers, which get no new work."""
         return self._leaving
 
     def subscribe(self, handler: Handler) -> None:
@@ -79,29 +80,29 @@
         self._handlers.append(handler)
 
     def mark_leaving(self, server: ids.ServerId) -> None:
-        """Take a server's own word that it is leaving, and spread it at once."""
-        self._mark(server, states.ServerState.LEAVING)
+        """Record that a server reports itself as leaving, and spread it at once."""
+        self._record_state(server, states.ServerState.LEAVING)
 
     def mark_live(self, server: ids.ServerId) -> None:
-        """Take a server's own word that it is back."""
-        self._mark(server, states.ServerState.LIVE)
+        """Record that a server reports itself as live again, and spread it at once."""
+        self._record_state(server, states.ServerState.LIVE)
 
     def report(self) -> dict[str, object]:
-        """Return the leaving servers, for ``status``."""
-        return {"leaving": sorted(self._leaving), "polls": self._polls()}
+        """Return the leaving servers and whether this router polls, for ``status``."""
+        return {"leaving": sorted(self._leaving), "polls": self._is_poller()}
 
-    def _mark(self, server: ids.ServerId, state: states.ServerState) -> None:
+    def _record_state(self, server: ids.ServerId, state: states.ServerState) -> None:
         with self._lock:
-            fact = self._departures.record_state(server, state, _read_clock())
+            fact = self._departures.record_state(server, state, _read_clock_us())
         if fact is not None:
             self._publish(fact)
 
-    def _take_frame(self, frame: messages.Frame, _: ids.Address) -> None:
+    def _handle_frame(self, frame: messages.Frame, _: ids.Address) -> None:
         for message in frame.messages:
             if isinstance(message, messages.ServerFact):
                 self._merge(message)
 
-    def _take_fact(
+    def _handle_fact(
         self, _: ids.RouterId, __: ids.Incarnation, fact: messages.ServerFact
     ) -> None:
         if fact.version > 0:
@@ -110,7 +111,7 @@
     def _answer_request(
         self, peer: ids.RouterId, _: ids.Incarnation, __: messages.MembersRequest
     ) -> None:
-        """Tell a router that joins, or comes back from a cut, what it has missed."""
+        """Send all facts to a router that has joined or was partitioned."""
         with self._lock:
             facts = self._departures.facts()
         for fact in facts:
@@ -118,12 +119,12 @@
 
     def _merge(self, fact: messages.ServerFact) -> None:
         with self._lock:
-            news = self._departures.merge(fact)
-        if news:
+            is_new = self._departures.merge(fact)
+        if is_new:
             self._publish(fact)
 
     def _publish(self, fact: messages.ServerFact) -> None:
-        """Put a new fact in force here and pass it on."""
+        """Apply a new fact, gossip it and call the handlers."""
         with self._lock:
             self._leaving = self._departures.leaving()
         if fact.state is states.ServerState.LEAVING:
@@ -138,15 +139,15 @@
         poll_at = 0.0
         while not self._stopped.wait(TICK_SECONDS):
             current = self._configuration.current()
-            if current is None or time.monotonic() < poll_at or not self._polls():
+            if current is None or time.monotonic() < poll_at or not self._is_poller():
                 continue
             poll_at = time.monotonic() + POLL_SECONDS
             try:
                 self._poll(current.servers)
             except errors.StoreUnavailable:
-                continue  # The list proposes only; the servers' own words go on.
+                continue  # The list is only a hint; servers also report themselves.
 
-    def _polls(self) -> bool:
+    def _is_poller(self) -> bool:
         present = [
             member.router
             for member in self._membership.alive()
@@ -162,11 +163,11 @@
         ]
         with self._lock:
             self._departures.retain(servers)
-            facts = self._departures.apply_vm_list(listed, _read_clock())
+            facts = self._departures.apply_vm_list(listed, _read_clock_us())
             self._leaving = self._departures.leaving()
         for fact in facts:
             self._publish(fact)
 
 
-def _read_clock() -> int:
+def _read_clock_us() -> int:
     return time.time_ns() // 1000
