--- a/tests/services/test_configuration.py
+++ b/tests/services/test_configuration.py
@@ -1,4 +1,4 @@
-"""A generation spreads over few watches and many links, and never reverts."""
+"""Tests for the spread of configuration generations through a fleet."""
 
 from __future__ import annotations
 
@@ -9,17 +9,15 @@
 from celeryspan import configuration, documents, kernel, publishing
 from celeryspan.adapters import store as store_adapter
 from celeryspan.decisions import watchers
-from celeryspan.services import (
-    configuration as configuration_service,
-)
+from celeryspan.services import configuration as configuration_service
 from standins import store
-from tests.services import fleet as scheduling, support
+from tests.services import fleet as fleet_support, support
 
 NAMES = ("a", "b", "c", "d", "e")
 
 
 class Fleet:
-    """Routers on loopback around one stand-in of the object API."""
+    """Routers on loopback that share one stand-in of the object API."""
 
     def __init__(self) -> None:
         self.store = store.Store()
@@ -36,12 +34,12 @@
         return box
 
     def publish(self, weight: float = 1.0) -> int:
-        made = scheduling.make_configuration(
+        published = fleet_support.make_configuration(
             {"server-1": 1}, ["desk"], weights={"desk": weight}
         )
         standing = publishing.read_standing(self.client)
         written = publishing.publish(
-            self.client, standing, made.register, made.rules, "test"
+            self.client, standing, published.register, published.rules, "test"
         )
         return written.generation
 
@@ -57,12 +55,12 @@
 
 @pytest.fixture
 def fleet():
-    made = Fleet()
-    yield made
-    made.stop()
+    created = Fleet()
+    yield created
+    created.stop()
 
 
-def test_generation_reaches_all_while_few_watch(fleet) -> None:
+def test_generation_reaches_all_routers_while_few_watch(fleet) -> None:
     fleet.publish()
     for name in NAMES:
         fleet.start(name)
@@ -77,8 +75,12 @@
     support.wait_until(lambda: fleet.generations() == {2})
 
 
-def test_router_without_state_hears_from_a_peer_while_the_store_is_down(fleet) -> None:
-    """A VM is replaced during an outage of the store; callers need it at once."""
+def test_new_router_gets_configuration_from_peer_while_store_is_down(fleet) -> None:
+    """Guards against a replaced VM that serves nothing until a store outage ends.
+
+    A restarted router has no configuration; with the store down it must get the
+    current one from a peer.
+    """
     fleet.publish()
     fleet.start("a")
     support.wait_until(lambda: fleet.generations() == {1})
@@ -87,18 +89,18 @@
     support.wait_until(lambda: fleet.generations() == {1})
 
 
-def test_router_that_hears_of_none_serves_nothing(fleet) -> None:
+def test_router_without_any_generation_serves_nothing(fleet) -> None:
     box = fleet.start("a")
     time.sleep(0.3)
     assert box.find("configuration").current() is None
     assert box.find("configuration").report()["generation"] == 0
 
 
-def test_old_data_from_the_store_reverts_nothing(fleet) -> None:
-    """An operator halves a weight; a minute later it is the old one again.
+def test_stale_store_reads_do_not_revert_the_generation(fleet) -> None:
+    """Guards against a stale read that reverts an operator's change of a weight.
 
-    The store answers a read with the value before the last, as a replica that lags
-    does after a failover.
+    The store answers a read with the value before the last, as a lagging replica does
+    after a failover.
     """
     fleet.publish()
     fleet.publish()
@@ -115,7 +117,7 @@
     assert service.current().generation == 2
 
 
-def test_damaged_index_is_refused_and_the_one_in_force_stays(fleet) -> None:
+def test_malformed_index_is_refused_and_current_one_stays(fleet) -> None:
     fleet.publish()
     fleet.start("a")
     support.wait_until(lambda: fleet.generations() == {1})
@@ -125,7 +127,7 @@
     assert fleet.generations() == {1}
 
 
-def test_leaving_server_is_known_to_all_by_its_own_word(fleet) -> None:
+def test_server_reporting_itself_leaving_is_known_to_all(fleet) -> None:
     fleet.publish()
     boxes = [fleet.start(name) for name in NAMES]
     support.wait_until(lambda: len(boxes[0].find("membership").alive()) == len(NAMES))
@@ -135,7 +137,7 @@
     )
 
 
-def test_list_of_vms_proposes_a_leaving_server(fleet) -> None:
+def test_vm_list_marks_a_server_as_leaving(fleet) -> None:
     fleet.publish()
     fleet.store.set_vms(
         [{"name": "server-1", "address": "127.0.0.1:1", "state": "leaving"}]
--- a/tests/services/test_drain.py
+++ b/tests/services/test_drain.py
@@ -1,4 +1,4 @@
-"""A stop that cuts nothing, and one that has to."""
+"""Tests for draining a router: graceful shutdown, cancellation and time limit."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from tests.services import test_caller, test_streams
 
 
-class Gate:
-    """An engine that holds its stream until a test lets it end."""
+class PausedEngine:
+    """An engine whose stream pauses until the test allows it to finish."""
 
     def __init__(self) -> None:
-        self.begun = threading.Event()
-        self.may_end = threading.Event()
+        self.started = threading.Event()
+        self.may_finish = threading.Event()
 
     def serve(self, connection, received):
         if not received.line.startswith("POST"):
             return False
         test_streams.begin(connection, received)
-        self.begun.set()
-        self.may_end.wait(10)
+        self.started.set()
+        self.may_finish.wait(10)
         scripted.write_tokens(connection, received.run, 2, "three")
         scripted.write_done(connection, received.run, 3)
         return True
 
 
 @pytest.fixture(autouse=True)
-def shorten(monkeypatch):
+def shorten_leave_spread(monkeypatch):
     monkeypatch.setattr(drain, "LEAVE_SPREAD_SECONDS", 0.2)
 
 
@@ -46,18 +46,18 @@
     return thread
 
 
-def test_a_stream_in_progress_is_ended_and_late_callers_are_served():
-    """A router is stopped for an upgrade while a planner reads a draft.
+def test_drain_completes_streams_and_serves_late_callers():
+    """Guards against errors for callers when a router is stopped for an upgrade.
 
-    Others still hold an address answer that names the router; refusing them would
-    show as errors at each upgrade.
+    One caller reads a stream that must not be cut. Others still have a cached address
+    answer that names the router and must not be refused.
     """
-    engine = Gate()
+    engine = PausedEngine()
     answers = []
     gates = [test_caller.echo]
     with scripted.run_router(gates=gates, engines=[engine.serve]) as router:
         stream = start_stream(router, answers)
-        assert engine.begun.wait(10)
+        assert engine.started.wait(10)
         stop = threading.Thread(target=router.drain.begin)
         stop.start()
         while not router.caller.draining:
@@ -69,7 +69,7 @@
         assert not router.drain.finished.wait(1)
         with pytest.raises(urllib3.exceptions.HTTPError):
             test_caller.ask(router, "GET", "/v1/addresses", headers={})
-        engine.may_end.set()
+        engine.may_finish.set()
         assert router.drain.finished.wait(10)
         stream.join()
         stop.join()
@@ -77,38 +77,38 @@
     assert answers == [("one two three", "[DONE]")]
 
 
-def test_a_second_signal_cuts_and_callers_are_told():
-    engine = Gate()
+def test_second_signal_cancels_requests_and_tells_callers():
+    engine = PausedEngine()
     answers = []
     with scripted.run_router(engines=[engine.serve]) as router:
         stream = start_stream(router, answers)
-        assert engine.begun.wait(10)
+        assert engine.started.wait(10)
         stop = threading.Thread(target=router.drain.begin)
         stop.start()
         router.drain.finished.set()
         router.drain.stop()
         stream.join(10)
         stop.join(10)
-        engine.may_end.set()
+        engine.may_finish.set()
     ((text, last),) = answers
     assert text == "one two "
     assert json.loads(last)["error"]["code"] == "answer-incomplete"
 
 
-def test_the_greatest_time_of_a_stop_is_kept():
-    engine = Gate()
+def test_drain_ends_after_drain_seconds():
+    engine = PausedEngine()
     with scripted.run_router(engines=[engine.serve], drain_seconds=0.3) as router:
         stream = start_stream(router, [])
-        assert engine.begun.wait(10)
+        assert engine.started.wait(10)
         router.drain.begin()
         assert router.drain.finished.is_set()
         assert router.caller.in_progress
         router.drain.stop()
         stream.join(10)
-        engine.may_end.set()
+        engine.may_finish.set()
 
 
-def test_a_planned_stop_in_the_rules_drains_the_router():
+def test_planned_stop_in_the_rules_drains_the_router():
     with scripted.run_router() as router:
         value = router.configuration.value
         rules = value.rules.model_copy(update={"planned_stops": ("entry-1",)})
@@ -116,7 +116,7 @@
         assert router.drain.finished.wait(10)
 
 
-def test_an_operator_drains_by_a_call():
+def test_operator_starts_a_drain_over_http():
     operator = {"Authorization": f"Bearer {scripted.OPERATOR_KEY}"}
     with scripted.run_router() as router:
         refused = test_caller.ask(router, "POST", "/v1/drain")
--- a/tests/services/test_links.py
+++ b/tests/services/test_links.py
@@ -1,4 +1,4 @@
-"""Links between routers on loopback: proof, loss, garbage, silence."""
+"""Tests for links between routers: authentication, loss, malformed data, silence."""
 
 from __future__ import annotations
 
@@ -8,15 +8,13 @@
 import pytest
 
 from celeryspan import ids, kernel
-from celeryspan.services import (
-    connections,
-)
+from celeryspan.services import connections
 from celeryspan.wire import messages
 from tests.services import support
 
 
 class Pair:
-    """Two routers that know each other's address, and what the second received."""
+    """Two routers with each other's address, and the messages the second received."""
 
     def __init__(self, keys: tuple[tuple[str, ...], tuple[str, ...]]) -> None:
         self.boxes: list[kernel.Kernel] = []
@@ -28,9 +26,9 @@
         self.first.set_address("b", support.peer_address(self.boxes[1]))
         self.second.set_address("a", support.peer_address(self.boxes[0]))
         for kind in (messages.Demand, messages.Grant, messages.Probe):
-            self.second.subscribe(kind, self._note)
+            self.second.subscribe(kind, self._record)
 
-    def _note(self, peer: str, incarnation: int, message: messages.Message) -> None:
+    def _record(self, peer: str, incarnation: int, message: messages.Message) -> None:
         assert peer == "a"
         assert incarnation == self.boxes[0].find("identity").incarnation
         self.received.append(message)
@@ -70,13 +68,13 @@
 
 
 def test_keys_may_differ_while_one_is_shared(make_pair) -> None:
-    """Operators rotate the fleet key router by router; no link may be refused."""
+    """Guards against refused links while operators rotate the fleet key per router."""
     pair = make_pair(("old", "new"), ("new", "old"))
     pair.first.send("b", make_demand(1))
     support.wait_until(lambda: pair.received == [make_demand(1)])
 
 
-def test_stranger_is_refused_and_counted(make_pair) -> None:
+def test_peer_with_wrong_key_is_refused_and_counted(make_pair) -> None:
     pair = make_pair(("guess",), ("secret",))
     pair.first.send("b", make_demand(1))
     support.wait_until(lambda: pair.first.report()["refused"] > 0)
@@ -84,8 +82,8 @@
     assert pair.first.report()["links"] == []
 
 
-def test_garbage_at_the_peer_port_does_no_harm(make_pair) -> None:
-    """A scanner or a damaged sender writes anything to the peer port."""
+def test_malformed_data_at_the_peer_port_is_tolerated(make_pair) -> None:
+    """Guards against a port scanner or faulty sender that breaks the peer port."""
     pair = make_pair()
     generator = random.Random(6)
     address = support.peer_address(pair.boxes[1])
@@ -97,10 +95,10 @@
 
 
 class Relay:
-    """Forwards a connection until told to swallow what it carries."""
+    """Forwards connections; can silently drop the data of the first one."""
 
     def __init__(self, target: tuple[str, int]) -> None:
-        self.swallows = False
+        self.drops_data = False
         self.accepted = 0
         self._target = target
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -112,17 +110,17 @@
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            far = socket.create_connection(self._target)
+            client, _ = self._listener.accept()
+            upstream = socket.create_connection(self._target)
             self.accepted += 1
-            silent = {"swallows": False, "first": self.accepted == 1}
-            self._run(self._copy, near, far, silent)
-            self._run(self._copy, far, near, silent)
+            flags = {"drops_data": False, "first": self.accepted == 1}
+            self._run(self._copy, client, upstream, flags)
+            self._run(self._copy, upstream, client, flags)
 
-    def _copy(self, source, sink, silent: dict[str, bool]) -> None:
+    def _copy(self, source, sink, flags: dict[str, bool]) -> None:
         try:
             while data := source.recv(65_536):
-                if not (self.swallows and silent["first"]):
+                if not (self.drops_data and flags["first"]):
                     sink.sendall(data)
         except OSError:
             pass
@@ -131,11 +129,11 @@
 def test_silent_link_is_replaced_and_its_state_sent_again(
     make_pair, monkeypatch
 ) -> None:
-    """A client account's demand is withdrawn, yet its home goes on sending grants.
+    """Guards against a withdrawn demand that is lost, so that its home sends on grants.
 
-    A device between two routers forgets their connection: what is written into it is
-    lost without an error, while new connections work. Heartbeats find the silence,
-    the link is replaced, and the states that may be lost are sent again.
+    A device between two routers drops the state of their connection: data written to
+    it is lost without an error, while new connections work. Missing heartbeats reveal
+    this; the link is replaced and the states that may be lost are sent again.
     """
     monkeypatch.setattr(connections, "HEARTBEAT_INTERVAL_SECONDS", 0.1)
     monkeypatch.setattr(connections, "SILENCE_TIMEOUT_SECONDS", 0.35)
@@ -144,21 +142,21 @@
     pair.first.set_address("b", ids.Address(*relay.address))
     pair.first.send("b", make_demand(3))
     support.wait_until(lambda: make_demand(3) in pair.received)
-    relay.swallows = True
+    relay.drops_data = True
     pair.first.send("b", make_demand(0))
     support.wait_until(lambda: make_demand(0) in pair.received)
     assert relay.accepted >= 2
 
 
-def test_restarted_peer_is_found_again(make_pair) -> None:
+def test_link_to_a_restarted_peer_is_reopened(make_pair) -> None:
     pair = make_pair()
     pair.first.send("b", make_demand(1))
     support.wait_until(lambda: len(pair.received) == 1)
     settings = pair.boxes[1].settings
     pair.boxes[1].stop()
-    again = kernel.Kernel(settings)
-    again.start(["links"])
-    pair.boxes[1] = again
-    again.find("links").subscribe(messages.Demand, pair._note)
+    restarted = kernel.Kernel(settings)
+    restarted.start(["links"])
+    pair.boxes[1] = restarted
+    restarted.find("links").subscribe(messages.Demand, pair._record)
     pair.first.send("b", make_demand(2))
     support.wait_until(lambda: make_demand(2) in pair.received)
--- a/tests/services/test_membership.py
+++ b/tests/services/test_membership.py
@@ -1,4 +1,4 @@
-"""Routers on loopback find each other, and lose each other, by datagrams."""
+"""Tests for the membership protocol between routers on loopback."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
     return {member.router for member in members if member.state in membertable.PRESENT}
 
 
-def test_routers_without_state_find_each_other_through_one(fleet) -> None:
+def test_routers_discover_each_other_through_one_seed(fleet) -> None:
     boxes = [fleet(name) for name in "abcd"]
     for box in boxes:
         support.wait_until(lambda box=box: names(box) == set("abcd"))
 
 
-def test_leaving_router_takes_no_part_and_is_gone_after_its_stop(fleet) -> None:
+def test_leaving_router_is_not_present_and_is_dead_after_its_stop(fleet) -> None:
     boxes = [fleet(name) for name in "abc"]
     support.wait_until(lambda: all(names(box) == set("abc") for box in boxes))
     leaving = boxes[2].find("membership")
@@ -52,36 +52,37 @@
     )
 
 
-def test_handlers_hear_of_a_restart_as_a_new_incarnation(fleet) -> None:
+def test_handlers_see_a_restart_as_a_new_incarnation(fleet) -> None:
     first, second = fleet("a"), fleet("b")
-    heard: list[list[messages.Member]] = []
-    first.find("membership").subscribe(heard.append)
+    notified: list[list[messages.Member]] = []
+    first.find("membership").subscribe(notified.append)
     support.wait_until(lambda: names(first) == set("ab"))
     before = first.find("membership").find("b").incarnation
     second.stop()
     support.wait_until(lambda: names(first) == {"a"})
-    again = kernel.Kernel(second.settings)
-    again.start(["membership"])
+    restarted = kernel.Kernel(second.settings)
+    restarted.start(["membership"])
     try:
         support.wait_until(lambda: names(first) == set("ab"))
         assert first.find("membership").find("b").incarnation > before
-        support.wait_until(lambda: bool(heard) and len(heard[-1]) == 2)
+        support.wait_until(lambda: bool(notified) and len(notified[-1]) == 2)
     finally:
-        again.stop()
+        restarted.stop()
 
 
-def test_garbage_at_the_peer_port_crashes_nothing(fleet) -> None:
-    """A stranger writes anything to the port, or what a router with the key might.
+def test_malformed_datagrams_at_the_peer_port_are_tolerated(fleet) -> None:
+    """Guards against malformed datagrams that crash a router.
 
-    The second kind passes the keyed hash and reaches the decisions.
+    Some carry a valid keyed hash, as from a faulty router with the key; these reach
+    the decoder and the membership protocol.
     """
     target = fleet("a")
     channel = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     address = support.peer_address(target)
 
     @hypothesis.given(strategies.binary(max_size=300), strategies.booleans())
-    def send(data: bytes, proven: bool) -> None:
-        datagram = proofs.sign_datagram("secret", data) if proven else data
+    def send(data: bytes, is_signed: bool) -> None:
+        datagram = proofs.sign_datagram("secret", data) if is_signed else data
         channel.sendto(datagram, address)
 
     send()
@@ -95,22 +96,22 @@
     assert target.find("datagrams").report()["refused"] > 0
 
 
-def test_router_whose_clock_went_back_takes_part_again(fleet, monkeypatch) -> None:
-    """A VM is restarted and its clock is an hour slow; its peers ignore it.
+def test_router_whose_clock_went_back_rejoins(fleet, monkeypatch) -> None:
+    """Guards against a restarted router that its peers ignore as an old incarnation.
 
-    They hold its new life for one that ended before the life they know. It hears
-    of the higher incarnation and takes the next one.
+    Its clock is an hour behind after the restart, so that its incarnation is lower
+    than before. It receives the higher one from its peers and takes the next.
     """
     first = fleet("a")
     second = fleet("b")
     support.wait_until(lambda: names(first) == set("ab"))
     before = first.find("membership").find("b").incarnation
     second.stop()
-    again = kernel.Kernel(second.settings)
+    restarted = kernel.Kernel(second.settings)
     monkeypatch.setattr("time.time_ns", lambda: (before - 3_600_000_000) * 1000)
-    again.start(["membership"])
+    restarted.start(["membership"])
     try:
-        support.wait_until(lambda: again.find("membership").incarnation > before)
+        support.wait_until(lambda: restarted.find("membership").incarnation > before)
         support.wait_until(lambda: names(first) == set("ab"))
     finally:
-        again.stop()
+        restarted.stop()
--- a/tests/services/test_store_outages.py
+++ b/tests/services/test_store_outages.py
@@ -1,4 +1,4 @@
-"""What goes on, and what is refused, while the object API fails."""
+"""Tests for calls to the object API, and for serving, during outages of the store."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from standins import fleet as fleets, store
 from tests.services import support
 
-PLAN = fleets.Plan(accounts=("desk",), routers=2, engines=0, gates=1, work_seconds=0.0)
+FLEET_PLAN = fleets.Plan(
+    accounts=("desk",), routers=2, engines=0, gates=1, work_seconds=0.0
+)
 
 
 @pytest.fixture
-def standin():
+def store_standin():
     made = store.Store()
     made.start()
     yield made
@@ -24,25 +26,26 @@
 
 
 @pytest.fixture
-def service(standin):
-    box = support.start_kernel(["store"], "a", store_address=str(standin.address))
+def service(store_standin):
+    box = support.start_kernel(["store"], "a", store_address=str(store_standin.address))
     yield box.find("store")
     box.stop()
 
 
-def count_calls(standin: store.Store) -> int:
-    return sum(standin.calls.values())
+def count_calls(store_standin: store.Store) -> int:
+    return sum(store_standin.calls.values())
 
 
-def test_long_outage_costs_one_call_now_and_then(standin, service) -> None:
-    """The store is down for long; requests that need it wait a timeout each.
+def test_long_outage_costs_few_calls(store_standin, service) -> None:
+    """Guards against a long store outage that blocks all threads of a router.
 
-    Soon all threads of the router wait, and requests that need no store wait too.
+    If each request that needs the store waited for a timeout, requests that don't
+    need it would soon find no free thread.
     """
-    standin.control(down=True)
+    store_standin.control(down=True)
     with pytest.raises(errors.StoreUnavailable):
         service.get("key")
-    before = count_calls(standin)
+    before = count_calls(store_standin)
     refused = 0
     for _ in range(200):
         try:
@@ -52,16 +55,16 @@
         except errors.StoreUnavailable:
             pass
     assert refused >= 190
-    assert count_calls(standin) - before <= 10
+    assert count_calls(store_standin) - before <= 10
     assert not service.reachable
 
 
-def test_short_outage_ends_by_itself(standin, service) -> None:
+def test_calls_succeed_after_a_short_outage(store_standin, service) -> None:
     service.create("key", b"value")
-    standin.control(down=True)
+    store_standin.control(down=True)
     with pytest.raises(errors.StoreUnavailable):
         service.get("key")
-    standin.control(down=False)
+    store_standin.control(down=False)
 
     def works() -> bool:
         try:
@@ -73,16 +76,18 @@
     assert service.reachable
 
 
-def test_slow_store_is_waited_for(standin, service) -> None:
-    standin.control(slow_seconds=0.3)
+def test_slow_store_counts_as_reachable(store_standin, service) -> None:
+    store_standin.control(slow_seconds=0.3)
     version = service.create("key", b"value")
     assert service.get("key") == (b"value", version)
     assert service.reachable
 
 
-def test_lost_answer_is_not_told_as_failure_of_the_write(standin, service) -> None:
-    """A write takes effect and its answer is lost; the writer must not repeat it."""
-    standin.control(lose_answers=1)
+def test_lost_answer_is_not_reported_as_a_write_without_effect(
+    store_standin, service
+) -> None:
+    """Guards against a repeated write: it took effect, but its answer was lost."""
+    store_standin.control(lose_answers=1)
     with pytest.raises(errors.StoreUnavailable) as caught:
         service.create("key", b"value")
     assert not isinstance(caught.value, errors.StoreNotAsked)
@@ -92,7 +97,7 @@
         service.client.create("key", b"other")
 
 
-def test_background_is_held_to_its_budget(standin, service) -> None:
+def test_background_calls_are_limited_by_the_budget(store_standin, service) -> None:
     for _ in range(int(circuitbreaker.BURST_CALLS)):
         service.list_keys("none/", background=True)
     with pytest.raises(errors.StoreNotAsked):
@@ -101,12 +106,13 @@
     service.list_keys("none/")
 
 
-def test_serving_goes_on_and_writes_are_refused_truthfully() -> None:
-    """The store goes down under a working fleet; ground handlers notice nothing.
+def test_serving_continues_and_writes_are_refused_as_not_run() -> None:
+    """Guards against a store outage that disturbs callers of a running fleet.
 
-    Only a call with the caller's own key needs the store: it is refused, not run.
+    Only a call with the caller's own idempotency key needs the store; it must be
+    refused with the outcome ``not-run``.
     """
-    made = fleets.Fleet(PLAN)
+    made = fleets.Fleet(FLEET_PLAN)
     made.start()
     try:
         made.store.control(down=True)
@@ -122,7 +128,7 @@
 
 
 def call(address: object, path: str, **headers: str) -> tuple[int, dict]:
-    """Send one call to the plain service."""
+    """Send one call to the plain service and return its status and JSON body."""
     sent = {name.replace("_", "-"): value for name, value in headers.items()}
     answer = urllib3.request(
         "POST",
