--- a/celeryspan/gateway/__init__.py
+++ b/celeryspan/gateway/__init__.py
@@ -1,6 +1,5 @@
-"""Services of a router on the users' platform, between callers and servers.
+"""Services of a router on the users' platform, between callers and backend servers.
 
-May be touched for input and output around decisions. What is decided under load or
-faults stands in ``celeryspan/decisions``; what the platform calls things, in
-``celeryspan/platform``.
+This package does input and output. Decisions under load and faults are in
+``celeryspan/decisions``; names and formats of the platform, in ``celeryspan/platform``.
 """
--- a/celeryspan/gateway/objectstore.py
+++ b/celeryspan/gateway/objectstore.py
@@ -1,4 +1,4 @@
-"""The kernel service ``objects``: the client of the platform's store."""
+"""The kernel service ``objects``: the client of the platform's object store."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 @kernel.register("objects")
 class ObjectStore:
-    """Holds the one client of this process.
+    """Holds the store client that all services of this process share.
 
     Attributes
     ----------
     client : ObjectClient
-        For all services that read or write the store.
+        Client for services that read or write the store.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
         self.client = objects.ObjectClient(box.settings.store_address)
 
     def start(self) -> None:
-        """Nothing to begin: the first call opens the first connection."""
+        """Do nothing: the first call opens a connection."""
 
     def stop(self) -> None:
         """Close the connections."""
--- a/celeryspan/gateway/settings.py
+++ b/celeryspan/gateway/settings.py
@@ -10,24 +10,25 @@
 
 
 class Settings(settings.Settings, frozen=True, kw_only=True):
-    """What such a router is told beside the settings of every router.
+    """Settings in addition to those of every router.
 
     Attributes
     ----------
     ready_address, directory_address : str
-        Where the platform asks whether this router is ready, and callers ask which
-        routers to use.
+        Listening addresses of the platform's readiness checks, and of the directory
+        from which callers get the addresses of routers.
     metrics_port : int
-        Port of the metrics; 0 serves them at the ready address only.
+        Port of the metrics; 0 serves them on the ready address only.
     grace_seconds : float
-        From SIGTERM to the end of the process, in seconds.
+        Time from SIGTERM to the end of the process.
     retry_ratio, retry_slack, retry_window : float
-        Repeats that the fleet may send: for each request, beside these in one window,
-        and the length of the window in seconds.
+        Retry budget of the fleet: retries per request, additional retries per window,
+        and length of the window in seconds.
     descriptors_max : int
-        Files and sockets that the process may have open; 0 asks the system.
+        Maximum of open files and sockets; 0 uses the limit of the operating system.
     processor_share, processor_speed : float
-        Part of a core that the VM has, and how many times as fast as a usual one.
+        Fraction of a core that the VM has, and speed of the core relative to the
+        reference core.
     """
 
     ready_address: structs.HostPort
@@ -43,5 +44,5 @@
 
     @property
     def cores(self) -> float:
-        """Processor time of the VM, in usual cores."""
+        """Processing capacity of the VM, in reference cores."""
         return self.processor_share * self.processor_speed
