--- a/celeryspan/gateway/catalogues.py
+++ b/celeryspan/gateway/catalogues.py
@@ -94,11 +94,11 @@
             if not change.is_deleted:
                 self._take(change.object)
 
-    def lose(self) -> None:
-        """Go on with what is known."""
+    def record_store_unreachable(self) -> None:
+        """Do nothing: the current catalogue stays in force."""
 
-    def regain(self) -> None:
-        """Nothing to do: a list or watch follows."""
+    def record_store_reachable(self) -> None:
+        """Do nothing: a list or watch follows."""
 
     def _take(self, found: storedobjects.StoredObject, peer: str = "store") -> None:
         if found.name != names.CONFIGURATION_NAME:
--- a/celeryspan/gateway/relays.py
+++ b/celeryspan/gateway/relays.py
@@ -94,7 +94,7 @@
                 "readers": list(follower.relays.duties.readers),
                 "sources": list(follower.relays.duties.sources),
                 "revision": follower.log.at,
-                "age": round(now - follower.answered_at(), 2),
+                "age": round(now - follower.last_answer_at(), 2),
                 "is_away": follower.is_away,
             }
             for kind, follower in self._followers.items()
@@ -117,7 +117,7 @@
         """Tell those who listen what is new, or that the store has answered."""
         now = time.monotonic()
         follower = self._followers[kind]
-        answered_at = follower.answered_at()
+        answered_at = follower.last_answer_at()
         with self._lock:
             for (router, listened), listener in self._listeners.items():
                 if listened != kind:
@@ -138,7 +138,7 @@
         if batch is None:
             return
         listener.above, listener.told_at = batch.at, now
-        listener.answered_at = follower.answered_at()
+        listener.answered_at = follower.last_answer_at()
         message = messages.RelayBatch(
             kind=kind,
             above=batch.above,
@@ -169,7 +169,9 @@
             return
         changes = unpack(message.body) if message.body else ()
         batch = storelog.Batch(message.above, message.at, changes, message.is_whole)
-        lacks = follower.hear(peer, batch, message.age, is_away=message.is_away)
+        lacks = follower.receive_batch(
+            peer, batch, message.age, is_away=message.is_away
+        )
         if lacks and peer in follower.relays.duties.sources:
             self._ask(peer, follower, time.monotonic())
 
--- a/celeryspan/gateway/serverlists.py
+++ b/celeryspan/gateway/serverlists.py
@@ -94,13 +94,13 @@
                 self._apply_one(change, now)
         self._publish()
 
-    def lose(self) -> None:
-        """Note that entries may lapse for no fault of their servers."""
+    def record_store_unreachable(self) -> None:
+        """Record that entries may expire although their servers are up."""
         with self._lock:
             self._list.record_store_unreachable()
 
-    def regain(self) -> None:
-        """Note that servers can renew their entries again."""
+    def record_store_reachable(self) -> None:
+        """Record that servers can renew their entries again."""
         with self._lock:
             self._list.record_store_reachable(time.monotonic())
 
--- a/tests/gateway/test_catalogues.py
+++ b/tests/gateway/test_catalogues.py
@@ -112,16 +112,16 @@
     def rests(follower: followers.Follower) -> bool:
         """Whether a follower hears others, and its own last watch is over."""
         now = time.monotonic()
-        watch_over = now - follower._read_at > relays.WATCH_SECONDS + 0.5
+        watch_over = now - follower._last_read_at > relays.WATCH_SECONDS + 0.5
         return watch_over and not follower.relays.must_read(now)
 
     support.wait_for(lambda: sum(map(rests, found)) == 2)
     others = [each for each in found if not each.relays.duties.is_reader]
-    before = [follower._read_at for follower in others]
+    before = [follower._last_read_at for follower in others]
     place.enter(leaving, "gate", state="draining")
     place.store.put("config", "main", support.make_configuration(2))
     staying = {ids.ServerId("gate-2")}
     lists = [router.box.find("servers") for router in routers]
     support.wait_for(lambda: all(set(each.usable()) == staying for each in lists))
     support.wait_for(lambda: {find_version(router) for router in routers} == {2})
-    assert [follower._read_at for follower in others] == before
+    assert [follower._last_read_at for follower in others] == before
--- a/tests/gateway/test_followers.py
+++ b/tests/gateway/test_followers.py
@@ -1,4 +1,4 @@
-"""How often a router asks the store while it changes."""
+"""Number of store calls that a router makes while the store changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ChangingStore:
-    """A store in which a server starts at each hundredth of a second for a while."""
+    """A store in which one server starts every 0.01 s until all have started."""
 
     address = "store"
 
@@ -30,13 +30,13 @@
         ]
 
     def list_objects(self, _: str) -> storedobjects.Listing:
-        """Return all servers."""
+        """Return all servers that have started."""
         self.calls += 1
         found = self._find(0)
         return storedobjects.Listing(tuple(found), len(found))
 
     def watch(self, _: str, at: int, seconds: float) -> storedobjects.Changes:
-        """Return the first changes above a revision, or none after a time."""
+        """Wait for changes after a revision; return none after ``seconds``."""
         self.calls += 1
         until = self._clock.now + seconds
         while not (found := self._find(at)) and self._clock.now < until:
@@ -46,13 +46,13 @@
 
 
 class Clock:
-    """Virtual time, which passes while somebody waits."""
+    """Virtual time, which advances during waits."""
 
     now = 0.0
 
 
 class VirtualEvent(threading.Event):
-    """Lets virtual time pass instead of waiting; set at the end of the play."""
+    """Advances virtual time instead of waiting; is set at the end of the test."""
 
     def __init__(self, clock: Clock, end: float) -> None:
         super().__init__()
@@ -60,17 +60,17 @@
         self._end = end
 
     def wait(self, timeout: float | None = None) -> bool:
-        """Let time pass."""
+        """Advance virtual time."""
         self._clock.now += timeout or 0.0
         return self.is_set()
 
     def is_set(self) -> bool:
-        """Whether the play is over."""
+        """Whether virtual time has reached the end of the test."""
         return self._clock.now >= self._end
 
 
-class Known:
-    """Takes in what a follower reads."""
+class ServerNames:
+    """Handler that collects the names of servers."""
 
     def __init__(self) -> None:
         self.servers: set[str] = set()
@@ -81,29 +81,30 @@
     def apply(self, changes: storedobjects.Changes) -> None:
         self.servers |= {change.object.name for change in changes.changes}
 
-    def lose(self) -> None:
-        raise AssertionError("the store answers")
+    def record_store_unreachable(self) -> None:
+        raise AssertionError("the store answers all calls")
 
-    def regain(self) -> None:
+    def record_store_reachable(self) -> None:
         pass
 
 
 @pytest.mark.parametrize(
     ("is_reader", "calls_max"), [(True, 1 + 10 + 3), (False, 1 + 2 + 3)]
 )
-def test_servers_that_start_in_a_row_cost_few_calls(
+def test_changes_in_quick_succession_are_coalesced_into_few_calls(
     is_reader: bool, calls_max: int
 ) -> None:
-    """A hundred servers start within a second; each start ended a paid call.
+    """A hundred servers start within a second, and each start ends a watch.
 
-    82 routers made 1,700 calls in the first four seconds of a fleet, near the rate that
-    the store bears.
+    Without coalescing each watch returns one change, and each watch is a paid call: 82
+    routers made 1,700 calls in the first four seconds of a fleet, near the rate that
+    the store sustains.
     """
     clock = Clock()
-    store, known = ChangingStore(clock), Known()
+    store, handler = ChangingStore(clock), ServerNames()
     own = ids.RouterId("edge-1")
-    follower = followers.Follower(store, "servers", known, own)
-    # The router has waited for a word of others in vain.
+    follower = followers.Follower(store, "servers", handler, own)
+    # The startup delay has passed without a report from another router.
     follower.relays = relays.Relays(own, -10.0, 2.0)
     if not is_reader:
         follower.relays.set_duties(
@@ -111,5 +112,5 @@
         )
     follower._stopped = VirtualEvent(clock, 3.0)
     follower._run()
-    assert len(known.servers) == CHANGES
+    assert len(handler.servers) == CHANGES
     assert store.calls <= calls_max
