--- a/celeryspan/gateway/catalogues.py
+++ b/celeryspan/gateway/catalogues.py
@@ -59,7 +59,7 @@
         self._links.subscribe(messages.ConfigurationRequest, self._answer)
         self._links.subscribe(messages.ConfigurationValue, self._take_value)
         self._membership.on_ahead(self._ask)
-        self._relays.join(self._follower)
+        self._relays.add_follower(self._follower)
         self._follower.start(self._relays)
 
     def stop(self) -> None:
--- a/celeryspan/gateway/fleet.py
+++ b/celeryspan/gateway/fleet.py
@@ -76,7 +76,7 @@
         listing = self._client.list_objects(names.ROUTER_KIND, is_stale=True)
         listed = dict(filter(None, map(_read, listing.objects)))
         self._is_written |= listed.get(self._identity.router) == self._own
-        self._relays.note_listed(listed)
+        self._relays.set_listed_routers(listed)
         listed.pop(self._identity.router, None)
         seeds = [entry.peer_address for entry in listed.values()]
         self._membership.set_seeds(seeds)
--- a/celeryspan/gateway/relays.py
+++ b/celeryspan/gateway/relays.py
@@ -1,9 +1,9 @@
-"""The kernel service ``relays``: what the store says, passed between routers.
+"""The kernel service ``relays``: replicates the store's objects between routers.
 
-A router asks its sources, again every few seconds; they tell it what changes, and how
-old their knowledge is. Who is a source of whom is worked out anew when the membership
-changes; a router that has just started goes by the store's list of routers until it
-has met the others.
+A router subscribes to its sources and renews the subscription every few seconds. The
+sources send it changes and the age of their data. Sources are chosen again whenever the
+membership changes. A router that has just started also uses the store's list of routers
+until the membership has found the others.
 """
 
 from __future__ import annotations
@@ -28,33 +28,33 @@
 
 TICK_SECONDS = 0.2
 
-LISTED_SECONDS = 4.0
-"""How long after its start a router also counts those that the store lists: by then it
-has met those that live."""
+LISTED_ROUTERS_SECONDS = 4.0
+"""Time after its start for which a router also counts the routers that the store lists.
+By then the membership has found those that are alive."""
 
 
-class _Listener(msgspec.Struct):
-    """A router that is told news of one kind.
+class _Subscriber(msgspec.Struct):
+    """A router that receives the changes of one kind of objects.
 
     Attributes
     ----------
     above : int
-        Revision up to which it was told.
-    until, told_at : float
-        When it is no longer told unless it asks again; the last word to it.
-    answered_at : float
-        The last answer of the store that it was told of.
+        Last revision sent.
+    expires_at, sent_at : float
+        Time at which the subscription ends unless renewed, and time of the last batch.
+    store_answered_at : float
+        Time of the store's last answer, as of the last batch.
     """
 
     above: int
-    until: float
-    told_at: float = float("-inf")
-    answered_at: float = float("-inf")
+    expires_at: float
+    sent_at: float = float("-inf")
+    store_answered_at: float = float("-inf")
 
 
 @kernel.register("relays", needs=("identity", "links", "membership"))
 class RelayService:
-    """Tells and hears what the store says."""
+    """Exchanges the contents of the store with other routers."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._identity: identity.IdentityService = box.find("identity")
@@ -65,29 +65,29 @@
         self._has_seeds = any(peer != own_address for peer in box.settings.peers)
         self._listed: dict[ids.RouterId, ids.DataCentreId] = {}
         self._is_settled = False
-        self._listed_until = time.monotonic() + LISTED_SECONDS
-        self._is_changed = True
+        self._listed_expire_at = time.monotonic() + LISTED_ROUTERS_SECONDS
+        self._duties_outdated = True
         self._followers: dict[str, followers.Follower] = {}
-        self._listeners: dict[tuple[ids.RouterId, str], _Listener] = {}
-        self._asked_at: dict[tuple[ids.RouterId, str], float] = {}
+        self._subscribers: dict[tuple[ids.RouterId, str], _Subscriber] = {}
+        self._subscribed_at: dict[tuple[ids.RouterId, str], float] = {}
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="relays", daemon=True)
 
     def start(self) -> None:
-        """Begin to ask and to tell."""
-        self._links.subscribe(messages.RelayRequest, self._take_request)
-        self._links.subscribe(messages.RelayBatch, self._take_batch)
-        self._membership.subscribe(lambda _: self._note_change())
+        """Register the message handlers and start the thread."""
+        self._links.subscribe(messages.RelayRequest, self._handle_request)
+        self._links.subscribe(messages.RelayBatch, self._handle_batch)
+        self._membership.subscribe(lambda _: self._mark_duties_outdated())
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop asking and telling."""
+        """Stop the thread."""
         self._stopped.set()
         self._thread.join()
 
     def report(self) -> dict[str, object]:
-        """Return who reads the store for this router, and the age of what is known."""
+        """Return the sources of each kind, and the revision and age of its data."""
         now = time.monotonic()
         return {
             kind: {
@@ -100,85 +100,87 @@
             for kind, follower in self._followers.items()
         }
 
-    def join(self, follower: followers.Follower) -> None:
-        """Pass on what a follower takes in, and tell it what others know."""
+    def add_follower(self, follower: followers.Follower) -> None:
+        """Connect a follower to the followers of its kind on other routers."""
         self._followers[follower.kind] = follower
 
-    def note_listed(self, listed: Mapping[ids.RouterId, routers.RouterEntry]) -> None:
-        """Take in the routers that the store lists, which may long be gone."""
+    def set_listed_routers(
+        self, listed: Mapping[ids.RouterId, routers.RouterEntry]
+    ) -> None:
+        """Set the routers that the store lists; some may no longer exist."""
         for router, entry in listed.items():
             if self._membership.find(router) is None:
                 self._links.learn(router, entry.peer_address)
         self._listed = {router: entry.data_centre for router, entry in listed.items()}
         self._is_settled |= not self._has_seeds or len(listed) > 1
-        self._note_change()
+        self._mark_duties_outdated()
 
     def publish(self, kind: str) -> None:
-        """Tell those who listen what is new, or that the store has answered."""
+        """Send subscribers new changes, or the news that the store has answered."""
         now = time.monotonic()
         follower = self._followers[kind]
-        answered_at = follower.last_answer_at()
+        store_answered_at = follower.last_answer_at()
         with self._lock:
-            for (router, listened), listener in self._listeners.items():
-                if listened != kind:
+            for (router, subscribed), subscriber in self._subscribers.items():
+                if subscribed != kind:
                     continue
-                fresher = answered_at - listener.answered_at
+                fresher_by = store_answered_at - subscriber.store_answered_at
                 if (
-                    fresher >= relays.FRESHNESS_STEP_SECONDS
-                    or follower.log.has_changes_since(listener.above)
+                    fresher_by >= relays.FRESHNESS_STEP_SECONDS
+                    or follower.log.has_changes_since(subscriber.above)
                 ):
-                    self._tell(router, kind, listener, now)
+                    self._send_batch(router, kind, subscriber, now)
 
-    def _tell(
-        self, router: ids.RouterId, kind: str, listener: _Listener, now: float
+    def _send_batch(
+        self, router: ids.RouterId, kind: str, subscriber: _Subscriber, now: float
     ) -> None:
-        """Send what a listener lacks, or a word of life; the caller holds the lock."""
+        """Send missing changes, or a keepalive; the caller holds the lock."""
         follower = self._followers[kind]
-        batch = follower.log.batch_since(listener.above)
+        batch = follower.log.batch_since(subscriber.above)
         if batch is None:
             return
-        listener.above, listener.told_at = batch.at, now
-        listener.answered_at = follower.last_answer_at()
+        subscriber.above, subscriber.sent_at = batch.at, now
+        subscriber.store_answered_at = follower.last_answer_at()
         message = messages.RelayBatch(
             kind=kind,
             above=batch.above,
             at=batch.at,
             is_whole=batch.is_whole,
-            age=now - listener.answered_at,
+            age=now - subscriber.store_answered_at,
             is_away=follower.is_away,
-            body=pack(batch.changes) if batch.changes else b"",
+            body=encode_changes(batch.changes) if batch.changes else b"",
         )
         self._links.send(router, message)
 
-    def _take_request(
+    def _handle_request(
         self, peer: ids.RouterId, _: ids.Incarnation, request: messages.RelayRequest
     ) -> None:
         if request.kind not in self._followers:
             return
         now = time.monotonic()
-        listener = _Listener(request.above, now + relays.SUBSCRIPTION_SECONDS)
+        subscriber = _Subscriber(request.above, now + relays.SUBSCRIPTION_SECONDS)
         with self._lock:
-            self._listeners[peer, request.kind] = listener
-            self._tell(peer, request.kind, listener, now)
+            self._subscribers[peer, request.kind] = subscriber
+            self._send_batch(peer, request.kind, subscriber, now)
 
-    def _take_batch(
+    def _handle_batch(
         self, peer: ids.RouterId, _: ids.Incarnation, message: messages.RelayBatch
     ) -> None:
         follower = self._followers.get(message.kind)
         if follower is None:
             return
-        changes = unpack(message.body) if message.body else ()
+        changes = decode_changes(message.body) if message.body else ()
         batch = storelog.Batch(message.above, message.at, changes, message.is_whole)
-        lacks = follower.receive_batch(
+        has_gap = follower.receive_batch(
             peer, batch, message.age, is_away=message.is_away
         )
-        if lacks and peer in follower.relays.duties.sources:
-            self._ask(peer, follower, time.monotonic())
+        if has_gap and peer in follower.relays.duties.sources:
+            self._subscribe(peer, follower, time.monotonic())
 
-    def _ask(
+    def _subscribe(
         self, source: ids.RouterId, follower: followers.Follower, now: float
     ) -> None:
-        self._asked_at[source, follower.kind] = now
+        self._subscribed_at[source, follower.kind] = now
         above = follower.log.at or 0
         self._links.send(source, messages.RelayRequest(follower.kind, above))
 
@@ -187,29 +189,29 @@
             try:
                 self._tick(time.monotonic())
             except Exception as error:
-                # Without this task the others beside this router would all read the
-                # store themselves.
+                # If this thread ended, the subscribers of this router would all read
+                # the store themselves.
                 events.log(events.Event.TASK_FAILED, task="relays", error=repr(error))
 
     def _tick(self, now: float) -> None:
-        if self._is_changed or self._listed:
-            self._is_changed = False
-            self._divide(now)
+        if self._duties_outdated or self._listed:
+            self._duties_outdated = False
+            self._update_duties(now)
         for follower in self._followers.values():
             follower.relays.expire_reports(now)
-            self._ask_again(follower, now)
-        self._tell_again(now)
+            self._renew_subscriptions(follower, now)
+        self._send_keepalives(now)
 
-    def _note_change(self) -> None:
-        self._is_changed = True
+    def _mark_duties_outdated(self) -> None:
+        self._duties_outdated = True
 
-    def _divide(self, now: float) -> None:
-        """Work out who reads the store and who relays."""
-        if now >= self._listed_until:
+    def _update_duties(self, now: float) -> None:
+        """Choose the readers of the store and the relays again."""
+        if now >= self._listed_expire_at:
             self._listed = {}
         own = self._identity.router
         duties = relays.choose_duties(
-            own, self._list_staying() | {own: self._data_centre}
+            own, self._list_participants() | {own: self._data_centre}
         )
         for follower in self._followers.values():
             if follower.relays.duties != duties:
@@ -221,35 +223,37 @@
                 )
             follower.relays.set_duties(duties, is_settled=self._is_settled)
 
-    def _list_staying(self) -> dict[ids.RouterId, ids.DataCentreId]:
-        """Return the routers that take part and stay, or may, and where they are."""
-        staying = (states.MemberState.ALIVE, states.MemberState.SUSPECT)
+    def _list_participants(self) -> dict[ids.RouterId, ids.DataCentreId]:
+        """Return the data centres of all routers that are not leaving or dead."""
+        participating = (states.MemberState.ALIVE, states.MemberState.SUSPECT)
         found = dict(self._listed)
         for member in self._membership.members():
-            if member.state in staying:
+            if member.state in participating:
                 found[member.router] = member.data_centre
             else:
                 found.pop(member.router, None)
         return found
 
-    def _ask_again(self, follower: followers.Follower, now: float) -> None:
+    def _renew_subscriptions(self, follower: followers.Follower, now: float) -> None:
         for source in follower.relays.duties.sources:
-            asked_at = self._asked_at.get((source, follower.kind), float("-inf"))
-            if follower.relays.must_subscribe(source, asked_at, now):
-                self._ask(source, follower, now)
-
-    def _tell_again(self, now: float) -> None:
-        """Tell those who have heard nothing for a while; forget who does not ask."""
+            subscribed_at = self._subscribed_at.get(
+                (source, follower.kind), float("-inf")
+            )
+            if follower.relays.must_subscribe(source, subscribed_at, now):
+                self._subscribe(source, follower, now)
+
+    def _send_keepalives(self, now: float) -> None:
+        """Send keepalives to idle subscribers and drop expired subscriptions."""
         with self._lock:
-            for key, listener in list(self._listeners.items()):
-                if listener.until < now:
-                    del self._listeners[key]
-                elif now - listener.told_at >= relays.KEEPALIVE_SECONDS:
-                    self._tell(*key, listener, now)
+            for key, subscriber in list(self._subscribers.items()):
+                if subscriber.expires_at < now:
+                    del self._subscribers[key]
+                elif now - subscriber.sent_at >= relays.KEEPALIVE_SECONDS:
+                    self._send_batch(*key, subscriber, now)
 
 
-def pack(changes: Iterable[storedobjects.Change]) -> bytes:
-    """Return the bytes of changes."""
+def encode_changes(changes: Iterable[storedobjects.Change]) -> bytes:
+    """Encode changes as JSON."""
     return json.dumps(
         [
             [
@@ -265,8 +269,8 @@
     ).encode()
 
 
-def unpack(body: bytes) -> tuple[storedobjects.Change, ...]:
-    """Return the changes out of bytes; raises ValueError."""
+def decode_changes(body: bytes) -> tuple[storedobjects.Change, ...]:
+    """Decode changes; raises ValueError if they are malformed."""
     return tuple(
         storedobjects.Change(
             storedobjects.StoredObject(name, revision, spec, status, is_terminating),
--- a/celeryspan/gateway/serverlists.py
+++ b/celeryspan/gateway/serverlists.py
@@ -42,7 +42,7 @@
 
     def start(self) -> None:
         """Begin to follow."""
-        self._relays.join(self._follower)
+        self._relays.add_follower(self._follower)
         self._follower.start(self._relays)
         self._thread.start()
 
