--- a/celeryspan/gateway/keptparts.py
+++ b/celeryspan/gateway/keptparts.py
@@ -1,7 +1,7 @@
-"""The kernel service ``keptparts``: asks engines which parts of prompts they keep.
+"""The kernel service ``keptparts``: asks engines which prompt parts they have cached.
 
-A home of a pool believes what follows from the prompts that it has placed. One that has
-just taken the pool over knows of none.
+The home of a pool derives the contents of the caches from the prompts that it places. A
+router that has just become the home has placed none and asks the engines instead.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 
 Handler = Callable[[catalog.ServerEntry, tuple[messages.PromptPart, ...]], None]
 
-WORKERS = 4
-"""Engines asked at a time: one that is dark holds a worker for 0.4 s."""
+QUERY_THREADS = 4
+"""Engines asked at a time; one that does not respond blocks a thread for 0.4 s."""
 
 
 @kernel.register("keptparts")
 class KeptParts:
-    """Asks engines on threads of its own; each question is asked once."""
+    """Asks engines from its own threads; failed calls are not repeated."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._client = engines.EngineClient()
-        self._workers = concurrent.futures.ThreadPoolExecutor(
-            WORKERS, thread_name_prefix="keptparts"
+        self._executor = concurrent.futures.ThreadPoolExecutor(
+            QUERY_THREADS, thread_name_prefix="keptparts"
         )
 
     def start(self) -> None:
-        """Do nothing: threads start with the first question."""
+        """Do nothing: threads start with the first query."""
 
     def stop(self) -> None:
-        """Drop what has not been asked yet."""
-        self._workers.shutdown(wait=False, cancel_futures=True)
+        """Drop the queries that have not started."""
+        self._executor.shutdown(wait=False, cancel_futures=True)
         self._client.close()
 
-    def ask(self, entry: catalog.ServerEntry, handler: Handler) -> None:
-        """Ask an engine, and hand over what it says, from another thread."""
+    def query(self, entry: catalog.ServerEntry, handler: Handler) -> None:
+        """Ask an engine, and call the handler with its answer from another thread."""
         try:
-            self._workers.submit(self._ask, entry, handler)
+            self._executor.submit(self._query, entry, handler)
         except RuntimeError:
-            pass  # This router stops; its successor as home asks anew.
+            pass  # This router is stopping; the next home of the pool asks again.
 
-    def _ask(self, entry: catalog.ServerEntry, handler: Handler) -> None:
+    def _query(self, entry: catalog.ServerEntry, handler: Handler) -> None:
         try:
             parts = self._client.list_kept(entry.address, entry.server)
         except errors.NotRun as error:
-            # The home goes on with what it sees itself.
+            # The home still learns the contents from the prompts that it places.
             events.log(
                 events.Event.KEPT_PARTS_UNKNOWN, server=entry.server, error=str(error)
             )
--- a/celeryspan/gateway/poolhomes.py
+++ b/celeryspan/gateway/poolhomes.py
@@ -193,7 +193,7 @@
         mine = self._map.list_servers(pool.name, self._servers.usable())
         pool.set_servers(mine, service.engine if service else None)
         for entry in pool.pop_unqueried():
-            self._kept.ask(entry, functools.partial(self._take_kept, pool.name))
+            self._kept.query(entry, functools.partial(self._take_kept, pool.name))
 
     def _take_kept(
         self,
--- a/tests/gateway/test_keptparts.py
+++ b/tests/gateway/test_keptparts.py
@@ -1,4 +1,4 @@
-"""A home that has just taken a pool over learns what its engines keep."""
+"""A new home of a pool learns which prompt parts its engines have cached."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def find_cache(router: support.Router, server: str):
-    """Return what the home believes one engine to keep."""
+    """Return the home's model of one engine's cache."""
     pool = router.box.find("poolhomes")._pools[POOL]
     return pool._placer._servers[server].cache
 
 
-def test_home_that_has_started_again_sends_prompts_to_who_keeps_them(place) -> None:
-    """All routers lose power for a second; the engines go on and keep all prompts.
+def test_restarted_home_sends_prompts_to_engines_that_have_them_cached(place) -> None:
+    """All routers lose power for a second while the engines keep their caches.
 
-    The new home believes that nothing is kept: for seconds prompts are read again at
-    any engine, and callers get half of the worth that they had before.
+    If the new home assumed empty caches, prompts would go to any engine and be computed
+    again for seconds, and the goodput of callers would halve.
     """
     engines = [place.add_server(f"gpu-{n}", "planner") for n in range(3)]
     engines[1].kept = {"aa": 500, "bb": 300}
@@ -31,7 +31,7 @@
     assert [engine.lists for engine in engines] == [1, 1, 1]
 
 
-def test_engine_that_does_not_say_what_it_keeps_is_used_all_the_same(place) -> None:
+def test_engine_with_a_malformed_list_of_cached_parts_is_still_used(place) -> None:
     engine = place.add_server("gpu-1", "planner")
     engine.kept = {"aa": "many"}
     router = place.start_router()
