--- a/celeryspan/gateway/directory.py
+++ b/celeryspan/gateway/directory.py
@@ -1,7 +1,7 @@
-"""The kernel service ``directory``: which routers to use, and readiness.
+"""The kernel service ``directory``: addresses of usable routers, readiness and metrics.
 
-Three paths need no framework: cherrypy's server answers them, and the rest of cherrypy,
-8 MB and 0.12 s of the start of each router, is not imported here.
+The three paths are served by cherrypy's HTTP server without the rest of cherrypy, whose
+import takes 8 MB and 0.12 s at the start of each router.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
     from celeryspan.gateway import catalogues, serverlists
     from celeryspan.services import membership
 
-KEEP_SECONDS = 1
-"""How long callers keep an answer, in seconds. Some keep it three times as long, and a
-stop must outlast that: requests that come later than 3 s after its beginning would
-otherwise be cut by its end."""
+ADDRESSES_TTL_SECONDS = 1
+"""Time for which callers may cache a list of addresses. Some cache it three times as
+long. A planned stop must last longer than that: otherwise the end of the process would
+cut requests that arrive more than 3 s after the stop begins."""
 
 THREADS = 32
 
@@ -33,10 +33,10 @@
 
 
 class Answer(NamedTuple):
-    """What is answered to one question."""
+    """Status, content type and body of an answer."""
 
     status: int
-    kind: str = "text/plain"
+    content_type: str = "text/plain"
     body: bytes = b""
 
 
@@ -45,12 +45,12 @@
     needs=("catalogues", "front", "membership", "metrics", "servers"),
 )
 class Directory:
-    """Serves the addresses at which callers and the platform ask.
+    """Serves addresses to callers, and readiness and metrics to the platform.
 
     Attributes
     ----------
     draining : bool
-        Whether this router is left out and not ready.
+        Whether this router is stopping: it is not listed and reports not ready.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
@@ -61,10 +61,10 @@
         self._servers: serverlists.ServersService = box.find("servers")
         self._random = random.Random(time.time_ns())
         self.draining = False
-        self._open: list[httpserver.Server] = []
+        self._http_servers: list[httpserver.Server] = []
 
     def start(self) -> None:
-        """Listen; raises OSError if an address is taken."""
+        """Start listening; raises OSError if an address is in use."""
         addresses = [self._settings.ready_address, self._settings.directory_address]
         if self._settings.metrics_port:
             host = ids.Address.parse(self._settings.ready_address).host
@@ -82,15 +82,15 @@
                 connections_max=budget.listener,
             )
             server.open()
-            self._open.append(server)
+            self._http_servers.append(server)
 
     def _serve(
         self, environ: dict[str, Any], start: Callable[[str, list], object]
     ) -> list[bytes]:
-        """Answer one question, as WSGI has it."""
+        """Answer one request; a WSGI application."""
         answer = self._answer(environ["PATH_INFO"], environ["QUERY_STRING"])
         headers = [
-            ("Content-Type", answer.kind),
+            ("Content-Type", answer.content_type),
             ("Content-Length", str(len(answer.body))),
         ]
         start(STATUSES[answer.status], headers)
@@ -98,9 +98,11 @@
 
     def _answer(self, path: str, query: str) -> Answer:
         if path == names.RESOLVE:
-            asked = dict(urllib.parse.parse_qsl(query))
-            listed = self.list_addresses(asked.get("zone"))
-            answer = {"addresses": listed, "ttl_s": KEEP_SECONDS} if listed else {}
+            parameters = dict(urllib.parse.parse_qsl(query))
+            listed = self.list_addresses(parameters.get("zone"))
+            answer = (
+                {"addresses": listed, "ttl_s": ADDRESSES_TTL_SECONDS} if listed else {}
+            )
             body = json.dumps(answer).encode()
             return Answer(200 if listed else 503, "application/json", body)
         if path == names.READY:
@@ -111,11 +113,11 @@
 
     def stop(self) -> None:
         """Stop listening."""
-        for server in self._open:
+        for server in self._http_servers:
             server.shut()
 
     def is_ready(self) -> bool:
-        """Whether this router can serve and does not stop."""
+        """Whether this router can serve requests and is not stopping."""
         return (
             not self.draining
             and self._catalogues.current() is not None
@@ -123,7 +125,7 @@
         )
 
     def list_addresses(self, data_centre: str | None) -> list[str]:
-        """Return the addresses of the routers to use, nearest first."""
+        """Return addresses of usable routers, those in ``data_centre`` first."""
         now = time.monotonic()
         known = self._membership.list_beliefs()
         if self.is_ready():
@@ -132,5 +134,5 @@
         return [str(address) for address in found]
 
     def render_metrics(self) -> bytes:
-        """Return the metrics in the text format."""
+        """Return the metrics in the Prometheus text format."""
         return self._metrics.render()
--- a/celeryspan/gateway/stopping.py
+++ b/celeryspan/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""The kernel service ``stopping``: a planned stop that cuts nothing."""
+"""The kernel service ``stopping``: a planned stop that aborts no requests."""
 
 from __future__ import annotations
 
@@ -13,70 +13,74 @@
     from celeryspan.gateway import directory, front
     from celeryspan.services import membership
 
-KEEPS = 3
-"""Callers keep an answer of the directory up to this many times as long as it says."""
+CACHED_TTLS_MAX = 3
+"""Maximum time for which callers cache an answer of the directory, as a multiple of its
+TTL."""
 
-TAKEN_MARGIN_SECONDS = 0.1
-"""New requests are refused this long before the last caller has learnt that this router
-leaves: a stream taken later than that may outlast the grace, and would be cut by the
-end of the process; a caller that is refused has time to go elsewhere."""
+REFUSAL_MARGIN_SECONDS = 0.1
+"""Time before the last cached address expires from which new requests are refused. A
+stream accepted later may outlast the grace period and would be cut by the end of the
+process, whereas a refused caller has time to use another router."""
 
-END_SECONDS = 0.6
-"""Before the end of the grace what is still in progress is ended in order."""
+ABORT_MARGIN_SECONDS = 0.6
+"""Time before the end of the grace period at which requests in progress are aborted
+with an error, rather than cut by the end of the process."""
 
-TICK_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 
 QUIET_SECONDS = 0.4
-"""Without a request for this long after all callers know, the process ends."""
+"""Time without requests, once new ones are refused, after which the process ends."""
 
 
 @kernel.register("stopping", needs=("directory", "front", "membership"))
 class Stopping:
-    """Leaves the directory, serves on for those who still come, then ends.
+    """Leaves the directory, serves callers that still have the address, then ends.
 
     Attributes
     ----------
     finished : Event
-        Set once the process may end.
+        Set when the process may end.
     """
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._directory: directory.Directory = box.find("directory")
         self._front: front.Front = box.find("front")
         self._membership: membership.MembershipService = box.find("membership")
-        self._grace = box.settings.grace_seconds
-        self._begun = threading.Lock()
+        self._grace_seconds = box.settings.grace_seconds
+        self._begin_lock = threading.Lock()
         self.finished = threading.Event()
 
     def start(self) -> None:
         """Do nothing until the stop begins."""
 
     def stop(self) -> None:
-        """Do nothing: the others stop by themselves."""
+        """Do nothing: the kernel stops the other services."""
 
     def begin(self) -> None:
         """Stop gracefully; a second call does nothing."""
-        if not self._begun.acquire(blocking=False):
+        if not self._begin_lock.acquire(blocking=False):
             return
-        began = time.monotonic()
-        end = began + self._grace - END_SECONDS
+        started_at = time.monotonic()
+        abort_at = started_at + self._grace_seconds - ABORT_MARGIN_SECONDS
         self._directory.draining = True
         self._front.draining = True
         self._membership.leave()
-        known = began + KEEPS * directory_module.KEEP_SECONDS
-        self._wait(known - TAKEN_MARGIN_SECONDS)
+        cached_until = (
+            started_at + CACHED_TTLS_MAX * directory_module.ADDRESSES_TTL_SECONDS
+        )
+        self._wait_until(cached_until - REFUSAL_MARGIN_SECONDS)
         self._front.refusing = True
         quiet_since = time.monotonic()
-        while time.monotonic() < end:
+        while time.monotonic() < abort_at:
             if self._front.count():
                 quiet_since = time.monotonic()
             if time.monotonic() - quiet_since > QUIET_SECONDS:
                 break
-            time.sleep(TICK_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
         cut = self._front.cut()
         events.log(events.Event.STOP_CUT_REQUESTS, requests=cut, count=len(cut))
         self.finished.set()
 
-    def _wait(self, until: float) -> None:
+    def _wait_until(self, until: float) -> None:
         while time.monotonic() < until:
-            time.sleep(TICK_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts nothing, and a home that dies is replaced."""
+"""A planned stop aborts no requests, and a pool's home that dies is replaced."""
 
 from __future__ import annotations
 
@@ -9,21 +9,20 @@
 from tests.gateway import support
 
 
-def test_stop_serves_old_addresses_and_ends_connections_with_notice(place) -> None:
-    """A router is told to stop while callers still hold its address.
+def test_stopping_router_serves_callers_that_still_have_its_address(place) -> None:
+    """A router stops while callers still have its address and open connections.
 
-    Requests on kept connections would be cut, or new ones refused, by a router that
-    ends at once.
+    If it ended at once, it would cut requests on open connections and refuse new ones.
     """
     server = place.add_server("planner-1", "planner")
     server.event_seconds = 0.05
     router = place.start_router()
-    kept = router.connect()
-    support.ask(kept, "/notes/1")
+    connection = router.connect()
+    support.ask(connection, "/notes/1")
     stop = router.box.find("stopping")
     threading.Thread(target=stop.begin).start()
     support.wait_for(lambda: router.box.find("front").draining)
-    answer = support.ask(kept, "/notes/1", "r2")
+    answer = support.ask(connection, "/notes/1", "r2")
     assert answer.status == 200
     assert answer.getheader("Connection") == "close"
     assert router.call("/notes/1", "r3").status == 200
@@ -31,11 +30,11 @@
     assert len(server.ran) == 3
 
 
-def test_request_that_comes_late_in_a_stop_is_refused_and_not_cut(place) -> None:
-    """A caller with an old address sends a long request just before a router's end.
+def test_request_late_in_a_stop_is_refused_and_not_aborted(place) -> None:
+    """A caller with a cached address sends a long request shortly before the end.
 
-    It was taken 3.1 s after the signal, ran for four seconds, and was cut when the
-    grace was over, though other routers could have served it.
+    A request accepted 3.1 s after the signal ran for four seconds and was cut at the
+    end of the grace period, though other routers could have served it.
     """
     server = place.add_server("planner-1", "planner")
     router = place.start_router()
@@ -48,15 +47,16 @@
     assert server.seen == []
 
 
-def test_refusals_begin_before_the_last_caller_has_learnt_of_the_stop() -> None:
-    taken = stopping.KEEPS * directory.KEEP_SECONDS - stopping.TAKEN_MARGIN_SECONDS
-    assert 2.5 <= taken < stopping.KEEPS * directory.KEEP_SECONDS
+def test_refusals_begin_before_the_last_cached_address_expires() -> None:
+    cached_seconds = stopping.CACHED_TTLS_MAX * directory.ADDRESSES_TTL_SECONDS
+    accepted_seconds = cached_seconds - stopping.REFUSAL_MARGIN_SECONDS
+    assert 2.5 <= accepted_seconds < cached_seconds
 
 
-def test_requests_are_served_when_the_home_of_their_pool_has_gone(place) -> None:
-    """The router that decides for a pool ends without a word.
+def test_requests_are_served_after_the_home_of_their_pool_has_stopped(place) -> None:
+    """The router that is the home of a pool stops.
 
-    Requests that wait at the others would wait until their timeouts, and new ones too.
+    Without a new home, requests on the other routers would wait until they time out.
     """
     place.add_server("gate-1")
     routers = [place.start_router(f"edge-{number}") for number in range(3)]
