--- a/celeryspan/gateway/fleet.py
+++ b/celeryspan/gateway/fleet.py
@@ -1,8 +1,8 @@
-"""The kernel service ``fleet``: routers find each other through the store.
+"""The kernel service ``fleet``: discovers the other routers through the store.
 
-Each router reads the objects of the others until it has met them, and writes its own if
-it is not there as it should be: one that starts again writes nothing. Who is alive is
-then the membership's to find out.
+Each router reads the entries of the others until its membership includes them. It
+writes its own entry only if that is missing or outdated, so a restart writes nothing.
+The membership then detects which routers are alive.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     from celeryspan.gateway import objectstore, relays
     from celeryspan.services import identity, membership
 
-PAUSE_FIRST = 0.25
-PAUSE_MAX = 30.0
-"""Pauses between two looks at the list; they double, and are the longest once all
-listed routers are met. A router that nobody has met is found by the others' looks and
-by its own."""
+POLL_DELAY_MIN_SECONDS = 0.25
+POLL_DELAY_MAX_SECONDS = 30.0
+"""Bounds of the delay between two reads of the list. It doubles after each read, and is
+the maximum once the membership includes all listed routers. A router that is not a
+member yet is found by its own reads and by those of the others."""
 
 
 @kernel.register("fleet", needs=("identity", "objects", "membership", "relays"))
 class FleetService:
-    """Writes this router's object and seeds membership and relays with the others'."""
+    """Writes this router's entry; passes the others' to the membership and relays."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         store: objectstore.ObjectStore = box.find("objects")
@@ -46,46 +46,51 @@
         self._thread = threading.Thread(target=self._run, name="fleet", daemon=True)
 
     def start(self) -> None:
-        """Begin to look for the others."""
+        """Start the discovery thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop looking; the object stays for the next life of this router."""
+        """Stop discovery; the entry stays in the store for the next start."""
         self._stopped.set()
 
     def _run(self) -> None:
-        pause = PAUSE_FIRST
+        delay = POLL_DELAY_MIN_SECONDS
         while not self._stopped.is_set():
             try:
-                pause = PAUSE_MAX if self._look() else min(pause * 2, PAUSE_MAX)
+                is_complete = self._discover()
+                delay = (
+                    POLL_DELAY_MAX_SECONDS
+                    if is_complete
+                    else min(delay * 2, POLL_DELAY_MAX_SECONDS)
+                )
             except errors.StoreError as error:
                 events.log(events.Event.STORE_ANSWER_LOST, error=str(error))
-            self._stopped.wait(pause * self._random.uniform(0.7, 1.0))
+            self._stopped.wait(delay * self._random.uniform(0.7, 1.0))
 
-    def _look(self) -> bool:
-        """Read where the others are, and write where this one is if the list errs.
+    def _discover(self) -> bool:
+        """Read the entries of the others, and correct this router's own.
 
-        A list that is seconds old is enough to join through, for a tenth of the price:
-        who came since is found by gossip, or at the next look.
+        A list that is some seconds old costs a tenth of a current one and suffices to
+        join: later routers are found by gossip or by the next read.
 
         Returns
         -------
         bool
-            Whether all listed routers are met.
+            Whether the membership includes all listed routers.
         """
         listing = self._client.list_objects(names.ROUTER_KIND, is_stale=True)
-        listed = dict(filter(None, map(_read, listing.objects)))
+        listed = dict(filter(None, map(_parse_entry, listing.objects)))
         self._is_written |= listed.get(self._identity.router) == self._own
         self._relays.set_listed_routers(listed)
         listed.pop(self._identity.router, None)
         seeds = [entry.peer_address for entry in listed.values()]
         self._membership.set_seeds(seeds)
-        self._write()
-        met = {member.peer_address for member in self._membership.members()}
-        return bool(seeds) and met.issuperset(seeds)
+        self._write_entry()
+        known = {member.peer_address for member in self._membership.members()}
+        return bool(seeds) and known.issuperset(seeds)
 
-    def _write(self) -> None:
-        """Write the object, over that of an earlier life if it says something else."""
+    def _write_entry(self) -> None:
+        """Write the entry, replacing an outdated one from an earlier start."""
         if self._is_written:
             return
         name, spec = self._identity.router, routers.write(self._own)
@@ -98,7 +103,7 @@
         self._is_written = True
 
 
-def _read(
+def _parse_entry(
     found: storedobjects.StoredObject,
 ) -> tuple[ids.RouterId, routers.RouterEntry] | None:
     try:
