--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -117,7 +117,7 @@
         if reply.is_not_run:
             is_gone = reply.status == 421
             if is_gone:
-                self._servers.drop(server)
+                self._servers.remove(server)
             raise backend.Declined(
                 f"status {reply.status}", leaving=is_gone, step="send", peer=server
             )
--- a/celeryspan/gateway/serverlists.py
+++ b/celeryspan/gateway/serverlists.py
@@ -1,4 +1,4 @@
-"""The kernel service ``servers``: the backend servers as the store lists them."""
+"""The kernel service ``servers``: backend servers that are registered in the store."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 Handler = Callable[[dict[ids.ServerId, catalog.ServerEntry]], None]
 
-TICK_SECONDS = 0.5
-"""How often entries that have lapsed are looked at."""
+EXPIRY_CHECK_INTERVAL_SECONDS = 0.5
+"""Interval between checks for expired entries."""
 
 
 @kernel.register("servers", needs=("identity", "objects", "relays"))
 class ServersService:
-    """Holds the entries of backend servers and tells who may get new work."""
+    """Holds the entries of backend servers, and which may get new requests."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         store: objectstore.ObjectStore = box.find("objects")
@@ -41,57 +41,59 @@
         self._thread = threading.Thread(target=self._run, name="servers", daemon=True)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the store."""
         self._relays.add_follower(self._follower)
         self._follower.start(self._relays)
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the store."""
         self._follower.stop()
         self._stopped.set()
 
     def usable(self) -> dict[ids.ServerId, catalog.ServerEntry]:
-        """Return the servers that may get new work."""
+        """Return the servers that may get new requests."""
         return self._usable
 
     def find(self, server: ids.ServerId) -> catalog.ServerEntry | None:
-        """Return the entry of a server, also of one that is leaving, or None."""
+        """Return the entry of a server, including a leaving one, or None."""
         with self._lock:
             return self._list.find(server)
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with the usable servers whenever they change."""
+        """Register a handler for the usable servers, and call it if there are any."""
         self._handlers.append(handler)
         if self._usable:
             handler(self._usable)
 
     def report(self) -> dict[str, object]:
-        """Return the usable servers by service."""
+        """Return the names of the usable servers by service."""
         found: dict[str, list[str]] = {}
         for server, entry in self._usable.items():
             found.setdefault(entry.service, []).append(server)
         return {"usable": found}
 
-    def drop(self, server: ids.ServerId) -> None:
-        """Take out a server at whose address another one has answered."""
+    def remove(self, server: ids.ServerId) -> None:
+        """Remove a server after another one has answered at its address."""
         with self._lock:
             self._list.remove(server, time.monotonic())
         self._publish()
 
     def replace(self, listing: storedobjects.Listing) -> None:
-        """Take in all entries."""
-        found = [entry for entry in map(_read, listing.objects) if entry is not None]
+        """Replace all entries."""
+        found = [
+            entry for entry in map(_parse_entry, listing.objects) if entry is not None
+        ]
         with self._lock:
             self._list.replace(found, time.monotonic())
         self._publish()
 
     def apply(self, changes: storedobjects.Changes) -> None:
-        """Take in changes."""
+        """Apply changes."""
         now = time.monotonic()
         with self._lock:
             for change in changes.changes:
-                self._apply_one(change, now)
+                self._apply_change(change, now)
         self._publish()
 
     def record_store_unreachable(self) -> None:
@@ -104,13 +106,13 @@
         with self._lock:
             self._list.record_store_reachable(time.monotonic())
 
-    def _apply_one(self, change: storedobjects.Change, now: float) -> None:
+    def _apply_change(self, change: storedobjects.Change, now: float) -> None:
         if change.is_deleted:
             self._list.remove(ids.ServerId(change.object.name), now)
             return
-        entry = _read(change.object)
+        entry = _parse_entry(change.object)
         if entry is None:
-            # Whoever wrote over it, it names no server any more.
+            # The entry was overwritten and no longer describes a server.
             self._list.remove(ids.ServerId(change.object.name), now)
         else:
             self._list.update(entry)
@@ -133,14 +135,14 @@
             handler(usable)
 
     def _run(self) -> None:
-        while not self._stopped.wait(TICK_SECONDS):
+        while not self._stopped.wait(EXPIRY_CHECK_INTERVAL_SECONDS):
             with self._lock:
                 changed = self._list.expire(time.monotonic())
             if changed:
                 self._publish()
 
 
-def _read(found: storedobjects.StoredObject) -> catalog.ServerEntry | None:
+def _parse_entry(found: storedobjects.StoredObject) -> catalog.ServerEntry | None:
     try:
         return servers.read(found)
     except errors.InputError as error:
