--- a/celeryspan/gateway/catalogues.py
+++ b/celeryspan/gateway/catalogues.py
@@ -1,8 +1,9 @@
 """The kernel service ``catalogues``: the configuration in force on this router.
 
-Each router watches the store. Revisions ride on the datagrams of the membership, and a
-router that hears of a higher one asks that peer for it, so that one whose way to the
-store is cut follows as well. A higher revision wins, always.
+Each router follows the configuration object in the store. Membership datagrams carry
+each router's revision, and a router that sees a higher one requests it from that peer,
+so that a router without access to the store is updated too. The highest revision always
+wins.
 """
 
 from __future__ import annotations
@@ -24,19 +25,20 @@
 
 Handler = Callable[[catalog.Catalogue], None]
 
-REQUEST_SECONDS = 0.5
-"""After this long without an answer another peer may be asked."""
+REQUEST_INTERVAL_SECONDS = 0.5
+"""Minimum interval between requests to peers, as a peer may not answer."""
 
-BEHIND_SECONDS = 0.4
-"""How long a peer's higher revision is left to come by the usual way: asked at once, a
-configuration of 50 KB crossed between data centres once for each router."""
+REQUEST_DELAY_SECONDS = 0.4
+"""Time for a higher revision to arrive from the store or the relays before a peer is
+asked for it. With immediate requests a configuration of 50 KB crossed between data
+centres once for each router."""
 
 
 @kernel.register(
     "catalogues", needs=("identity", "objects", "links", "membership", "relays")
 )
 class CataloguesService:
-    """Holds the catalogue in force; takes only a higher revision."""
+    """Holds the catalogue in force; only a higher revision replaces it."""
 
     def __init__(self, box: kernel.Kernel) -> None:
         store: objectstore.ObjectStore = box.find("objects")
@@ -46,7 +48,7 @@
         self._object: storedobjects.StoredObject | None = None
         self._handlers: list[Handler] = []
         self._lock = threading.Lock()
-        self._asked_until = 0.0
+        self._next_request_at = 0.0
         self._behind_since: float | None = None
         own: identity.IdentityService = box.find("identity")
         self._relays: relays.RelayService = box.find("relays")
@@ -55,44 +57,44 @@
         )
 
     def start(self) -> None:
-        """Begin to follow the store and the peers."""
-        self._links.subscribe(messages.ConfigurationRequest, self._answer)
-        self._links.subscribe(messages.ConfigurationValue, self._take_value)
-        self._membership.on_ahead(self._ask)
+        """Start to follow the store and register the handlers for peers."""
+        self._links.subscribe(messages.ConfigurationRequest, self._handle_request)
+        self._links.subscribe(messages.ConfigurationValue, self._handle_value)
+        self._membership.on_ahead(self._request_from_peer)
         self._relays.add_follower(self._follower)
         self._follower.start(self._relays)
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the store."""
         self._follower.stop()
 
     def current(self) -> catalog.Catalogue | None:
-        """Return the catalogue in force, or None: then serve nothing."""
+        """Return the catalogue in force, or None if no request may be served yet."""
         return self._current
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with each catalogue put in force, and with this one."""
+        """Register a handler for catalogues, and call it if there is one already."""
         self._handlers.append(handler)
         if self._current is not None:
             handler(self._current)
 
     def report(self) -> dict[str, object]:
-        """Return version and revision in force."""
+        """Return the version and revision in force."""
         current = self._current
         if current is None:
             return {"version": None}
         return {"version": current.version, "revision": current.revision}
 
     def replace(self, listing: storedobjects.Listing) -> None:
-        """Take in the configuration out of a list."""
+        """Apply the configuration from a list of objects."""
         for found in listing.objects:
-            self._take(found)
+            self._put_in_force(found)
 
     def apply(self, changes: storedobjects.Changes) -> None:
-        """Take in the newest configuration out of changes."""
+        """Apply the newest configuration from changes."""
         for change in changes.changes:
             if not change.is_deleted:
-                self._take(change.object)
+                self._put_in_force(change.object)
 
     def record_store_unreachable(self) -> None:
         """Do nothing: the current catalogue stays in force."""
@@ -100,7 +102,9 @@
     def record_store_reachable(self) -> None:
         """Do nothing: a list or watch follows."""
 
-    def _take(self, found: storedobjects.StoredObject, peer: str = "store") -> None:
+    def _put_in_force(
+        self, found: storedobjects.StoredObject, peer: str = "store"
+    ) -> None:
         if found.name != names.CONFIGURATION_NAME:
             return
         with self._lock:
@@ -127,7 +131,7 @@
         for handler in list(self._handlers):
             handler(current)
 
-    def _ask(self, member: messages.Member) -> None:
+    def _request_from_peer(self, member: messages.Member) -> None:
         now = time.monotonic()
         with self._lock:
             above = self._object.revision if self._object else 0
@@ -135,15 +139,15 @@
                 return
             if above and self._behind_since is None:
                 self._behind_since = now
-            since = self._behind_since or -BEHIND_SECONDS
-            if now < max(self._asked_until, since + BEHIND_SECONDS):
+            since = self._behind_since or -REQUEST_DELAY_SECONDS
+            if now < max(self._next_request_at, since + REQUEST_DELAY_SECONDS):
                 return
-            self._asked_until = now + REQUEST_SECONDS
+            self._next_request_at = now + REQUEST_INTERVAL_SECONDS
         self._links.learn(member.router, member.peer_address)
         request = messages.ConfigurationRequest(ids.Generation(above))
         self._links.send(member.router, request)
 
-    def _answer(
+    def _handle_request(
         self,
         peer: ids.RouterId,
         _: ids.Incarnation,
@@ -155,7 +159,7 @@
             generation = ids.Generation(found.revision)
             self._links.send(peer, messages.ConfigurationValue(generation, body))
 
-    def _take_value(
+    def _handle_value(
         self,
         peer: ids.RouterId,
         _: ids.Incarnation,
@@ -168,4 +172,4 @@
             status=None,
             is_terminating=False,
         )
-        self._take(found, peer)
+        self._put_in_force(found, peer)
--- a/tests/gateway/test_catalogues.py
+++ b/tests/gateway/test_catalogues.py
@@ -1,4 +1,4 @@
-"""The configuration in force: newer ones win, whatever the store does."""
+"""The configuration in force and the list of servers, during faults of the store."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def find_version(router: support.Router) -> int:
-    """Return the version in force on a router."""
+    """Return the configuration version in force on a router."""
     return router.box.find("catalogues").current().version
 
 
-def test_change_is_in_force_without_a_word_to_the_router(place) -> None:
+def test_configuration_change_in_the_store_is_applied(place) -> None:
     place.add_server("gate-1")
     router = place.start_router()
     configuration = support.make_configuration(2)
@@ -25,7 +25,7 @@
     assert router.call("/bookings/1").status == 404
 
 
-def test_key_that_is_taken_away_opens_nothing(place) -> None:
+def test_removed_key_is_rejected_on_open_connections(place) -> None:
     place.add_server("gate-1")
     router = place.start_router()
     connection = router.connect()
@@ -36,9 +36,9 @@
 
 
 def test_older_revision_is_ignored(place) -> None:
-    """A router was cut off, and a peer or a stale read shows it an older version.
+    """A peer or a stale read gives a router an older configuration.
 
-    A route that was dropped would be served again.
+    If it were applied, the router would serve a removed route again.
     """
     router = place.start_router()
     service = router.box.find("catalogues")
@@ -50,17 +50,17 @@
     assert service.current() is newest
 
 
-def test_malformed_configuration_leaves_the_one_before_in_force(place) -> None:
+def test_malformed_configuration_is_ignored_until_a_valid_one_follows(place) -> None:
     router = place.start_router()
     place.store.put("config", "main", {"version": 2, "routes": [{}]})
     place.store.put("config", "main", support.make_configuration(3))
     support.wait_for(lambda: find_version(router) == 3)
 
 
-def test_history_that_is_gone_is_read_anew(place) -> None:
-    """The store drops its history, and a server leaves in the gap.
+def test_objects_are_listed_again_after_the_store_drops_its_history(place) -> None:
+    """The store drops the part of its history in which a server was removed.
 
-    A router that only waits for further changes would send to it for good.
+    A router that only watched for later changes would never remove that server.
     """
     place.add_server("gate-1")
     place.add_server("gate-2")
@@ -71,10 +71,10 @@
     support.wait_for(lambda: set(servers.usable()) == {ids.ServerId("gate-2")})
 
 
-def test_router_cut_off_from_the_store_follows_its_peers(place) -> None:
-    """One router's way to the store is cut while the operator takes a route away.
+def test_router_without_access_to_the_store_is_updated_by_its_peers(place) -> None:
+    """A router has no access to the store while the operator removes a route.
 
-    It would go on serving the route until the way is back.
+    Without its peers it would serve the route until it reaches the store again.
     """
     place.add_server("gate-1")
     first = place.start_router("edge-1")
@@ -86,7 +86,7 @@
     support.wait_for(lambda: find_version(second) == 2)
 
 
-def test_leaving_server_gets_no_new_work(place) -> None:
+def test_leaving_server_gets_no_new_requests(place) -> None:
     leaving = place.add_server("gate-1")
     staying = place.add_server("gate-2")
     router = place.start_router()
@@ -99,24 +99,25 @@
     assert len(staying.ran) == 4
 
 
-def test_few_routers_read_the_store_for_all(place) -> None:
-    """Each router of a large fleet watches the store, and each change ends all watches.
+def test_two_routers_read_the_store_for_the_fleet(place) -> None:
+    """Each change in the store ends all watches.
 
-    The store's calls grow with routers times changes until it refuses them.
+    If every router of a large fleet watched the store, the number of calls would grow
+    with routers times changes until the store refuses them.
     """
     leaving = place.add_server("gate-1")
     place.add_server("gate-2")
     routers = [place.start_router(f"edge-{number}") for number in range(4)]
-    found = [router.box.find("servers")._follower for router in routers]
+    all_followers = [router.box.find("servers")._follower for router in routers]
 
-    def rests(follower: followers.Follower) -> bool:
-        """Whether a follower hears others, and its own last watch is over."""
+    def is_idle(follower: followers.Follower) -> bool:
+        """Whether a follower gets fresh reports, and its own last watch is over."""
         now = time.monotonic()
-        watch_over = now - follower._last_read_at > relays.WATCH_SECONDS + 0.5
-        return watch_over and not follower.relays.must_read(now)
+        is_watch_over = now - follower._last_read_at > relays.WATCH_SECONDS + 0.5
+        return is_watch_over and not follower.relays.must_read(now)
 
-    support.wait_for(lambda: sum(map(rests, found)) == 2)
-    others = [each for each in found if not each.relays.duties.is_reader]
+    support.wait_for(lambda: sum(map(is_idle, all_followers)) == 2)
+    others = [each for each in all_followers if not each.relays.duties.is_reader]
     before = [follower._last_read_at for follower in others]
     place.enter(leaving, "gate", state="draining")
     place.store.put("config", "main", support.make_configuration(2))
