--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""The stand-ins and routers of the gateway's tests."""
+"""Fixtures of the gateway's tests."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 @pytest.fixture
 def place() -> Iterator[support.Place]:
-    """Return a store with a configuration; servers and routers are added to it."""
+    """Return a configured cluster, to which tests add servers and routers."""
     with support.open_place() as found:
         yield found
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -1,4 +1,4 @@
-"""Whole routers in one process, before stand-ins of the platform."""
+"""Complete routers in the test process, with stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Place:
-    """One router, its store and its backend servers."""
+    """A store with backend servers and routers, for one test."""
 
     def __init__(self, stack: contextlib.ExitStack) -> None:
         self._stack = stack
@@ -33,33 +33,33 @@
     def add_server(
         self, name: str, service: str = "gate", **values: object
     ) -> platformserver.PlatformServer:
-        """Start a backend server and enter it in the store."""
+        """Start a backend server and register it in the store."""
         server = platformserver.PlatformServer(name, streams=service == "planner")
         server.start()
         self._stack.callback(server.stop)
-        self.enter(server, service, **values)
+        self.register_server(server, service, **values)
         return server
 
-    def enter(
+    def register_server(
         self, server: platformserver.PlatformServer, service: str, **values: object
     ) -> None:
-        """Write the entry of a backend server."""
+        """Write or overwrite the entry of a backend server in the store."""
         spec = desk.make_entry(service, server.address, **values)
         self.store.put("servers", server.name, spec)
 
     def start_router(self, name: str = "edge-1") -> Router:
-        """Start a router and wait until it has what the store has."""
+        """Start a router and wait until it has read the store."""
         router = Router(name, str(self.store.address))
         self._stack.callback(router.stop)
-        wanted = set(self.store._objects["servers"])
-        wait_for(lambda: wanted <= set(router.box.find("servers").usable()))
+        registered = set(self.store._objects["servers"])
+        wait_for(lambda: registered <= set(router.box.find("servers").usable()))
         if self.store.find("config", "main"):
             wait_for(lambda: router.box.find("catalogues").current() is not None)
         return router
 
 
 class Router:
-    """All services of a router on the platform, on ports of loopback."""
+    """All services of a router on the platform, listening on the loopback interface."""
 
     def __init__(self, name: str, store: str) -> None:
         addresses = [f"127.0.0.1:{port}" for port in ports.find_ports(4)]
@@ -86,21 +86,21 @@
             self.box.stop()
 
     def connect(self) -> http.client.HTTPConnection:
-        """Return a caller's connection."""
+        """Return a connection to the address for callers."""
         host, _, port = self.settings.caller_address.partition(":")
         return http.client.HTTPConnection(host, int(port), timeout=WAIT_SECONDS)
 
     def call(
         self, path: str, request: str = "r1", method: str = "POST", **values: object
     ) -> http.client.HTTPResponse:
-        """Send one request on a connection of its own; the body is read."""
+        """Send one request on a new connection; see :func:`send_request`."""
         connection = self.connect()
         answer = ask(connection, path, request, method, **values)
         connection.close()
         return answer
 
     def get(self, address: str, path: str) -> tuple[int, bytes]:
-        """Ask one of the addresses that the platform asks."""
+        """Return status and body of a GET request to another address of the router."""
         host, _, port = address.partition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=WAIT_SECONDS)
         connection.request("GET", path)
@@ -120,7 +120,7 @@
     body: object = b"asked",
     headers: dict[str, str] | None = None,
 ) -> http.client.HTTPResponse:
-    """Send one request; ``text`` of the answer holds its body."""
+    """Send one request; the ``text`` of the response holds the body as bytes."""
     sent = {
         "Host": HOST,
         "Celeryspan-Request-Id": request,
@@ -137,7 +137,7 @@
 
 @contextlib.contextmanager
 def open_place(*, configured: bool = True) -> Iterator[Place]:
-    """Yield a store, with the configuration of the tests in it."""
+    """Yield a cluster, by default with the tests' configuration in its store."""
     with contextlib.ExitStack() as stack:
         place = Place(stack)
         if configured:
--- a/tests/gateway/test_carrier.py
+++ b/tests/gateway/test_carrier.py
@@ -271,7 +271,7 @@
     support.wait_for(lambda: first.seen)
     second = place.add_server("gpu-2", "planner", born=1_500)
     support.wait_for(lambda: "gpu-2" in router.box.find("servers").usable())
-    place.enter(first, "planner", born=2_000)
+    place.register_server(first, "planner", born=2_000)
     asking.join(timeout=support.WAIT_SECONDS)
     assert answers and answers[0].status == 200
     assert second.ran == ["r1"]
@@ -297,7 +297,7 @@
     place.store.remove("servers", "gpu-1")
     support.wait_for(lambda: "gpu-1" not in usable())
     second = place.add_server("gpu-2", "planner", born=1_500)
-    place.enter(first, "planner", born=2_000)
+    place.register_server(first, "planner", born=2_000)
     asking.join(timeout=support.WAIT_SECONDS)
     assert answers and answers[0].status == 200
     assert first.ran + second.ran == ["r1", "r1"]
--- a/tests/gateway/test_catalogues.py
+++ b/tests/gateway/test_catalogues.py
@@ -90,7 +90,7 @@
     leaving = place.add_server("gate-1")
     staying = place.add_server("gate-2")
     router = place.start_router()
-    place.enter(leaving, "gate", state="draining")
+    place.register_server(leaving, "gate", state="draining")
     servers = router.box.find("servers")
     support.wait_for(lambda: set(servers.usable()) == {ids.ServerId("gate-2")})
     for number in range(4):
@@ -119,7 +119,7 @@
     support.wait_for(lambda: sum(map(is_idle, all_followers)) == 2)
     others = [each for each in all_followers if not each.relays.duties.is_reader]
     before = [follower._last_read_at for follower in others]
-    place.enter(leaving, "gate", state="draining")
+    place.register_server(leaving, "gate", state="draining")
     place.store.put("config", "main", support.make_configuration(2))
     staying = {ids.ServerId("gate-2")}
     lists = [router.box.find("servers") for router in routers]
