--- a/tests/daemons/test_quarantine.py
+++ b/tests/daemons/test_quarantine.py
@@ -75,14 +75,14 @@
 
 
 def test_released_request_is_sent_again() -> None:
-    with support.open_place() as place:
-        server = place.add_server("gate-1")
-        router = place.start_router()
+    with support.open_cluster() as cluster:
+        server = cluster.add_server("gate-1")
+        router = cluster.start_router()
         test_quarantines.blame(router, b"mended", 3)
-        support.wait_for(lambda: place.store.find(KIND, "main"))
+        support.wait_for(lambda: cluster.store.find(KIND, "main"))
         assert router.call("/bookings/1", body=b"mended").status == 429
         name = str(test_quarantines.fingerprint(router, b"mended"))
-        assert run(place.store, "release", name) is EXIT.DONE
+        assert run(cluster.store, "release", name) is EXIT.DONE
         support.wait_for(
             lambda: router.call("/bookings/1", "r2", body=b"mended").status == 200
         )
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def place() -> Iterator[support.Place]:
+def cluster() -> Iterator[support.Cluster]:
     """Return a configured cluster, to which tests add servers and routers."""
-    with support.open_place() as found:
-        yield found
+    with support.open_cluster() as cluster:
+        yield cluster
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -21,7 +21,7 @@
 wait_for = desk.wait_for
 
 
-class Place:
+class Cluster:
     """A store with backend servers and routers, for one test."""
 
     def __init__(self, stack: contextlib.ExitStack) -> None:
@@ -95,7 +95,7 @@
     ) -> http.client.HTTPResponse:
         """Send one request on a new connection; see :func:`send_request`."""
         connection = self.connect()
-        answer = ask(connection, path, request, method, **values)
+        answer = send_request(connection, path, request, method, **values)
         connection.close()
         return answer
 
@@ -110,7 +110,7 @@
         return answer.status, body
 
 
-def ask(
+def send_request(
     connection: http.client.HTTPConnection,
     path: str,
     request: str = "r1",
@@ -136,10 +136,10 @@
 
 
 @contextlib.contextmanager
-def open_place(*, configured: bool = True) -> Iterator[Place]:
+def open_cluster(*, configured: bool = True) -> Iterator[Cluster]:
     """Yield a cluster, by default with the tests' configuration in its store."""
     with contextlib.ExitStack() as stack:
-        place = Place(stack)
+        cluster = Cluster(stack)
         if configured:
-            place.store.put("config", "main", make_configuration())
-        yield place
+            cluster.store.put("config", "main", make_configuration())
+        yield cluster
--- a/tests/gateway/test_catalogues.py
+++ b/tests/gateway/test_catalogues.py
@@ -15,32 +15,32 @@
     return router.box.find("catalogues").current().version
 
 
-def test_configuration_change_in_the_store_is_applied(place) -> None:
-    place.add_server("gate-1")
-    router = place.start_router()
+def test_configuration_change_in_the_store_is_applied(cluster) -> None:
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     configuration = support.make_configuration(2)
     del configuration["routes"][1]
-    place.store.put("config", "main", configuration)
+    cluster.store.put("config", "main", configuration)
     support.wait_for(lambda: find_version(router) == 2)
     assert router.call("/bookings/1").status == 404
 
 
-def test_removed_key_is_rejected_on_open_connections(place) -> None:
-    place.add_server("gate-1")
-    router = place.start_router()
+def test_removed_key_is_rejected_on_open_connections(cluster) -> None:
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     connection = router.connect()
-    assert support.ask(connection, "/bookings/1").status == 200
-    place.store.put("config", "main", support.make_configuration(2, tenants=[]))
+    assert support.send_request(connection, "/bookings/1").status == 200
+    cluster.store.put("config", "main", support.make_configuration(2, tenants=[]))
     support.wait_for(lambda: find_version(router) == 2)
-    assert support.ask(connection, "/bookings/1", "r2").status == 401
+    assert support.send_request(connection, "/bookings/1", "r2").status == 401
 
 
-def test_older_revision_is_ignored(place) -> None:
+def test_older_revision_is_ignored(cluster) -> None:
     """A peer or a stale read gives a router an older configuration.
 
     If it were applied, the router would serve a removed route again.
     """
-    router = place.start_router()
+    router = cluster.start_router()
     service = router.box.find("catalogues")
     newest = service.current()
     old = storedobjects.StoredObject(
@@ -50,47 +50,47 @@
     assert service.current() is newest
 
 
-def test_malformed_configuration_is_ignored_until_a_valid_one_follows(place) -> None:
-    router = place.start_router()
-    place.store.put("config", "main", {"version": 2, "routes": [{}]})
-    place.store.put("config", "main", support.make_configuration(3))
+def test_malformed_configuration_is_ignored_until_a_valid_one_follows(cluster) -> None:
+    router = cluster.start_router()
+    cluster.store.put("config", "main", {"version": 2, "routes": [{}]})
+    cluster.store.put("config", "main", support.make_configuration(3))
     support.wait_for(lambda: find_version(router) == 3)
 
 
-def test_objects_are_listed_again_after_the_store_drops_its_history(place) -> None:
+def test_objects_are_listed_again_after_the_store_drops_its_history(cluster) -> None:
     """The store drops the part of its history in which a server was removed.
 
     A router that only watched for later changes would never remove that server.
     """
-    place.add_server("gate-1")
-    place.add_server("gate-2")
-    router = place.start_router()
-    place.store.remove("servers", "gate-1")
-    place.store.compact()
+    cluster.add_server("gate-1")
+    cluster.add_server("gate-2")
+    router = cluster.start_router()
+    cluster.store.remove("servers", "gate-1")
+    cluster.store.compact()
     servers = router.box.find("servers")
     support.wait_for(lambda: set(servers.usable()) == {ids.ServerId("gate-2")})
 
 
-def test_router_without_access_to_the_store_is_updated_by_its_peers(place) -> None:
+def test_router_without_access_to_the_store_is_updated_by_its_peers(cluster) -> None:
     """A router has no access to the store while the operator removes a route.
 
     Without its peers it would serve the route until it reaches the store again.
     """
-    place.add_server("gate-1")
-    first = place.start_router("edge-1")
-    second = place.start_router("edge-2")
+    cluster.add_server("gate-1")
+    first = cluster.start_router("edge-1")
+    second = cluster.start_router("edge-2")
     support.wait_for(lambda: len(second.box.find("membership").alive()) == 2)
     second.box.find("catalogues")._follower.stop()
-    place.store.put("config", "main", support.make_configuration(2))
+    cluster.store.put("config", "main", support.make_configuration(2))
     support.wait_for(lambda: find_version(first) == 2)
     support.wait_for(lambda: find_version(second) == 2)
 
 
-def test_leaving_server_gets_no_new_requests(place) -> None:
-    leaving = place.add_server("gate-1")
-    staying = place.add_server("gate-2")
-    router = place.start_router()
-    place.register_server(leaving, "gate", state="draining")
+def test_leaving_server_gets_no_new_requests(cluster) -> None:
+    leaving = cluster.add_server("gate-1")
+    staying = cluster.add_server("gate-2")
+    router = cluster.start_router()
+    cluster.register_server(leaving, "gate", state="draining")
     servers = router.box.find("servers")
     support.wait_for(lambda: set(servers.usable()) == {ids.ServerId("gate-2")})
     for number in range(4):
@@ -99,15 +99,15 @@
     assert len(staying.ran) == 4
 
 
-def test_two_routers_read_the_store_for_the_fleet(place) -> None:
+def test_two_routers_read_the_store_for_the_fleet(cluster) -> None:
     """Each change in the store ends all watches.
 
     If every router of a large fleet watched the store, the number of calls would grow
     with routers times changes until the store refuses them.
     """
-    leaving = place.add_server("gate-1")
-    place.add_server("gate-2")
-    routers = [place.start_router(f"edge-{number}") for number in range(4)]
+    leaving = cluster.add_server("gate-1")
+    cluster.add_server("gate-2")
+    routers = [cluster.start_router(f"edge-{number}") for number in range(4)]
     all_followers = [router.box.find("servers")._follower for router in routers]
 
     def is_idle(follower: followers.Follower) -> bool:
@@ -119,8 +119,8 @@
     support.wait_for(lambda: sum(map(is_idle, all_followers)) == 2)
     others = [each for each in all_followers if not each.relays.duties.is_reader]
     before = [follower._last_read_at for follower in others]
-    place.register_server(leaving, "gate", state="draining")
-    place.store.put("config", "main", support.make_configuration(2))
+    cluster.register_server(leaving, "gate", state="draining")
+    cluster.store.put("config", "main", support.make_configuration(2))
     staying = {ids.ServerId("gate-2")}
     lists = [router.box.find("servers") for router in routers]
     support.wait_for(lambda: all(set(each.usable()) == staying for each in lists))
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -37,13 +37,13 @@
 
 
 @pytest.fixture
-def crash(place) -> Iterator[callable]:
+def crash(cluster) -> Iterator[callable]:
     """Return what starts the servers of a service, which crash on one body."""
     started: list[crashing.CrashingServers] = []
 
     def start(service: str, count: int = 3, **values: object):
         servers = crashing.CrashingServers(
-            place.store, service, count, {FATAL}, **values
+            cluster.store, service, count, {FATAL}, **values
         )
         started.append(servers)
         return servers
@@ -84,23 +84,23 @@
 
 @pick(PATHS)
 def test_request_that_crashed_three_servers_reaches_at_most_three_more(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against one request that crashes server after server."""
     servers = crash(service)
-    routers = [place.start_router(f"edge-{index}") for index in range(2)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(2)]
     repeat(routers, path, 30)
     assert count_late(servers) <= RETRIES_MAX
 
 
 @pick(["once only"])
 def test_bound_of_crashes_outlasts_the_restart_of_all_routers(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against routers that forget, once restarted, what crashed servers."""
     servers = crash(service)
     for life in range(4):
-        routers = [place.start_router(f"edge-{life}-{index}") for index in range(2)]
+        routers = [cluster.start_router(f"edge-{life}-{index}") for index in range(2)]
         repeat(routers, path, 8)
         for router in routers:
             router.stop()
@@ -109,11 +109,11 @@
 
 @pick(["plain", "resumable"])
 def test_other_requests_of_the_account_are_served_beside_one_that_crashes_servers(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against a whole service that is down because of one request."""
     servers = crash(service)
-    routers = [place.start_router(f"edge-{index}") for index in range(2)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(2)]
     fatal = threading.Thread(target=repeat, args=(routers, path, 30), daemon=True)
     fatal.start()
     tries = []
@@ -133,11 +133,11 @@
 
 @pick(["plain", "resumable"])
 def test_equal_requests_are_served_while_servers_crash_for_another_reason(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against popular requests that are taken for the cause of crashes."""
     servers = crash(service)
-    routers = [place.start_router(f"edge-{index}") for index in range(2)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(2)]
     statuses = []
     for number, router in zip(range(50), itertools.cycle(routers), strict=False):
         if number % 8 == 4:
--- a/tests/gateway/test_crashwatch.py
+++ b/tests/gateway/test_crashwatch.py
@@ -30,12 +30,12 @@
     "path, service", [("/bookings/1", "gate"), ("/notes/1", "planner")]
 )
 def test_crash_is_logged_with_the_fingerprint_of_what_ran(
-    place, lines, path: str, service: str
+    cluster, lines, path: str, service: str
 ) -> None:
     """Guards against a record that can't tell copies of one request from others."""
-    servers = crashing.CrashingServers(place.store, service, 2, {FATAL})
+    servers = crashing.CrashingServers(cluster.store, service, 2, {FATAL})
     try:
-        router = place.start_router()
+        router = cluster.start_router()
         answer = router.call(path, "r1", body=FATAL)
         assert answer.status == 502
         support.wait_for(lambda: select(lines, events.Event.SERVER_CRASHED))
@@ -55,12 +55,12 @@
 
 @pytest.mark.parametrize("failure", ["reset", "cut"])
 def test_lost_answer_of_a_server_that_lives_is_no_crash(
-    place, lines, failure: str
+    cluster, lines, failure: str
 ) -> None:
     """Guards against innocents that are suspected when answers are lost."""
-    server = place.add_server("gate-1")
+    server = cluster.add_server("gate-1")
     server.script.append(failure)
-    router = place.start_router()
+    router = cluster.start_router()
     assert router.call("/bookings/1").status == 502
     watch = router.box.find("crashwatch")
     support.wait_for(lambda: not watch._probes)
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -30,19 +30,19 @@
     connection = stack.enter_context(
         contextlib.closing(processes.connect(router.caller_address))
     )
-    return support.ask(connection, "/bookings/1", f"r{number}").status
+    return support.send_request(connection, "/bookings/1", f"r{number}").status
 
 
 def test_callers_that_keep_their_connections_are_all_served(
-    place: support.Place, tmp_path: pathlib.Path
+    cluster: support.Cluster, tmp_path: pathlib.Path
 ) -> None:
     """The account's callers use one router, each request on a connection of its own.
 
     Every one of them is to be answered: the router must give up connections that wait
     for nothing before it has no descriptor left.
     """
-    place.add_server("gate-1")
-    store = str(place.store.address)
+    cluster.add_server("gate-1")
+    store = str(cluster.store.address)
     with contextlib.ExitStack() as stack:
         router = stack.enter_context(processes.run_router(tmp_path, store, DESCRIPTORS))
         statuses = [leave_open(stack, router, number) for number in range(CALLERS)]
@@ -50,14 +50,14 @@
 
 
 def test_directory_and_readiness_answer_while_connections_pile_up(
-    place: support.Place, tmp_path: pathlib.Path
+    cluster: support.Cluster, tmp_path: pathlib.Path
 ) -> None:
     """The directory beside the front could not accept either.
 
     Callers then keep the addresses that they have, and stay with the drowned router.
     """
-    place.add_server("gate-1")
-    store = str(place.store.address)
+    cluster.add_server("gate-1")
+    store = str(cluster.store.address)
     with contextlib.ExitStack() as stack:
         router = stack.enter_context(processes.run_router(tmp_path, store, DESCRIPTORS))
         host, _, port = router.caller_address.partition(":")
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -14,9 +14,9 @@
 from tests.gateway import support
 
 
-def test_request_reaches_its_server_and_the_answer_its_caller(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_request_reaches_its_server_and_the_answer_its_caller(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     answer = router.call("/bookings/7?stand=12", headers={"X-Note": "urgent"})
     assert (answer.status, answer.text) == (200, b"served")
     assert answer.getheader("Celeryspan-Server-Stamp") == "gate-1.1"
@@ -30,13 +30,13 @@
     assert 0 < int(seen.headers["celeryspan-deadline-ms"]) <= 2000
 
 
-def test_time_in_line_for_a_thread_is_the_callers(place) -> None:
+def test_time_in_line_for_a_thread_is_the_callers(cluster) -> None:
     """A request waits for a thread of a busy router until its caller's time is over.
 
     Its time began when the thread read it: it was sent on after its caller had left.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     front = router.box.find("front")
     serves = front.serve
 
@@ -50,14 +50,14 @@
     assert server.seen == []
 
 
-def test_headers_that_the_system_sets_are_not_the_callers(place) -> None:
+def test_headers_that_the_system_sets_are_not_the_callers(cluster) -> None:
     """A caller names another account, a place in a server's memory and a server.
 
     Passed on, it would be served on somebody else's account or go on from the memory
     of another caller's request.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     forged = {
         "Celeryspan-Tenant": "another",
         "Celeryspan-Kv-Hold": "h1",
@@ -78,9 +78,9 @@
     assert support.KEY not in seen.headers.values()
 
 
-def test_unknown_route_and_key_are_refused_without_a_server(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_unknown_route_and_key_are_refused_without_a_server(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     assert router.call("/elsewhere/1").status == 404
     assert router.call("/bookings").status == 404
     assert router.call("/bookings/1", key="guessed").status == 401
@@ -88,12 +88,12 @@
     assert server.seen == []
 
 
-def test_anonymous_route_needs_no_key_and_ignores_a_wrong_one(place) -> None:
+def test_anonymous_route_needs_no_key_and_ignores_a_wrong_one(cluster) -> None:
     configuration = support.make_configuration(2)
     configuration["routes"][0]["anonymous"] = True
-    place.store.put("config", "main", configuration)
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    cluster.store.put("config", "main", configuration)
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     assert router.call("/calls/1", key="").status == 200
     assert router.call("/calls/1", key="guessed").status == 200
     assert "celeryspan-tenant" not in server.seen[0].headers
@@ -104,8 +104,8 @@
 
     A caller that got 404 or 401 from it would not come back, though its route exists.
     """
-    with support.open_place(configured=False) as place:
-        router = place.start_router()
+    with support.open_cluster(configured=False) as cluster:
+        router = cluster.start_router()
         answer = router.call("/bookings/1")
         assert answer.status == 503
         assert float(answer.getheader("Retry-After")) > 0
@@ -114,21 +114,21 @@
         assert ready == 503
 
 
-def test_body_in_chunks_arrives_whole(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_body_in_chunks_arrives_whole(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     answer = router.call("/bookings/1", body=iter([b"one ", b"two"]))
     assert answer.status == 200
     assert server.seen[0].body == b"one two"
 
 
-def test_body_that_breaks_off_reaches_no_server(place) -> None:
+def test_body_that_breaks_off_reaches_no_server(cluster) -> None:
     """A caller announces ten bytes, sends three and leaves.
 
     A server that got the three would carry out something nobody has asked for.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port))) as caller:
         head = f"POST /bookings/1 HTTP/1.1\r\nHost: {support.HOST}\r\n"
@@ -145,14 +145,14 @@
         "Content-Length: +5\r\n",
     ],
 )
-def test_request_with_two_ends_is_refused(place, framing: str) -> None:
+def test_request_with_two_ends_is_refused(cluster, framing: str) -> None:
     """A caller hides a second request behind a length that readers disagree about.
 
     Passed on, the second one would run under the key of whoever uses the connection
     to the server next.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port)), timeout=5) as caller:
         head = f"POST /bookings/1 HTTP/1.1\r\nHost: {support.HOST}\r\n{framing}\r\n"
@@ -174,23 +174,23 @@
     One that goes on by what it knew when they met names only itself: all callers near
     it use one router, which has no thread left, while the others idle.
     """
-    with support.open_place(configured=False) as place:
-        place.add_server("gate-1")
-        routers = [place.start_router(f"edge-{number}") for number in range(2)]
+    with support.open_cluster(configured=False) as cluster:
+        cluster.add_server("gate-1")
+        routers = [cluster.start_router(f"edge-{number}") for number in range(2)]
         for router in routers:
             membership = router.box.find("membership")
             support.wait_for(lambda found=membership: len(found.alive()) == 2)
             assert resolve(router) == set()
-        place.store.put("config", "main", support.make_configuration())
+        cluster.store.put("config", "main", support.make_configuration())
         both = {router.settings.caller_address for router in routers}
         for router in routers:
             support.wait_for(lambda found=router: resolve(found) == both)
 
 
-def test_directory_names_ready_routers_and_leaves_out_one_that_stops(place) -> None:
-    place.add_server("gate-1")
-    first = place.start_router("edge-1")
-    second = place.start_router("edge-2")
+def test_directory_names_ready_routers_and_leaves_out_one_that_stops(cluster) -> None:
+    cluster.add_server("gate-1")
+    first = cluster.start_router("edge-1")
+    second = cluster.start_router("edge-2")
     both = {first.settings.caller_address, second.settings.caller_address}
 
     support.wait_for(lambda: resolve(first) == both and resolve(second) == both)
@@ -202,12 +202,12 @@
     assert second.call("/bookings/1").status == 200
 
 
-def test_refusals_and_connections_are_counted(place) -> None:
-    place.add_server("gate-1")
-    router = place.start_router()
+def test_refusals_and_connections_are_counted(cluster) -> None:
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     assert router.call("/elsewhere/1").status == 404
     kept = router.connect()
-    assert support.ask(kept, "/bookings/1").status == 200
+    assert support.send_request(kept, "/bookings/1").status == 200
 
     def read_metrics() -> str:
         return router.get(router.settings.ready_address, names.METRICS)[1].decode()
--- a/tests/gateway/test_full_router.py
+++ b/tests/gateway/test_full_router.py
@@ -31,13 +31,13 @@
 def ask(router: processes.ProcessRouter, request: str) -> Told:
     """Send one request on a connection of its own."""
     with contextlib.closing(processes.connect(router.caller_address)) as connection:
-        answer = support.ask(connection, "/notes/1", request, headers=PATIENT)
+        answer = support.send_request(connection, "/notes/1", request, headers=PATIENT)
         retry_after = answer.getheader("Retry-After")
         return Told(request, answer.status, retry_after, answer.text)
 
 
 def test_every_caller_of_a_full_router_is_served_or_told_when_to_return(
-    place: support.Place, tmp_path: pathlib.Path
+    cluster: support.Cluster, tmp_path: pathlib.Path
 ) -> None:
     """An account's callers all come to one router at once, far more than it takes.
 
@@ -45,9 +45,9 @@
     beside the front did not answer, so that they stayed. Each is to get an answer: the
     whole stream, or a refusal that is true and says when to come back.
     """
-    engine = place.add_server("planner-1", "planner", slots=64)
+    engine = cluster.add_server("planner-1", "planner", slots=64)
     engine.event_seconds = 0.02
-    store = str(place.store.address)
+    store = str(cluster.store.address)
     with processes.run_router(tmp_path, store, threads=THREADS) as router:
         with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
             asked = [pool.submit(ask, router, f"r{n}") for n in range(CALLERS)]
--- a/tests/gateway/test_migrations.py
+++ b/tests/gateway/test_migrations.py
@@ -27,14 +27,14 @@
         The caller's answer, once it is whole.
     """
 
-    def __init__(self, place: support.Place, path: str) -> None:
+    def __init__(self, cluster: support.Cluster, path: str) -> None:
         engines = [
-            place.add_server("gpu-1", "planner"),
-            place.add_server("gpu-2", "planner"),
+            cluster.add_server("gpu-1", "planner"),
+            cluster.add_server("gpu-2", "planner"),
         ]
         for engine in engines:
             engine.event_seconds = 0.2
-        self.router = place.start_router()
+        self.router = cluster.start_router()
         self.answers: list = []
         self._thread = threading.Thread(target=self._ask, args=(path,))
         self._thread.start()
@@ -68,9 +68,9 @@
 
 
 @pytest.fixture(params=["/drafts/1", "/notes/1"])
-def moving(place, request) -> Moving:
+def moving(cluster, request) -> Moving:
     """Return a stream that may be resumed, and one that may not."""
-    return Moving(place, request.param)
+    return Moving(cluster, request.param)
 
 
 def test_stream_goes_on_at_the_other_engine(moving: Moving) -> None:
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -46,17 +46,17 @@
     router.box.find("quarantine").merge([word])
 
 
-def start_fleet(place: support.Place, count: int = 2) -> list[support.Router]:
+def start_fleet(cluster: support.Cluster, count: int = 2) -> list[support.Router]:
     """Start routers that know each other."""
-    routers = [place.start_router(f"edge-{index}") for index in range(count)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(count)]
     found = [router.box.find("membership") for router in routers]
     support.wait_for(lambda: all(len(each.alive()) == count for each in found))
     return routers
 
 
-def test_held_request_is_refused_with_its_cause_and_runs_nowhere(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_held_request_is_refused_with_its_cause_and_runs_nowhere(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     blame(router, FATAL, 3)
     answer = router.call("/bookings/1", body=FATAL)
     assert answer.status == 429
@@ -69,9 +69,9 @@
     assert server.ran == ["r2", "r3"]
 
 
-def test_other_routers_refuse_what_one_has_seen(place) -> None:
-    server = place.add_server("gate-1")
-    routers = start_fleet(place, 3)
+def test_other_routers_refuse_what_one_has_seen(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    routers = start_fleet(cluster, 3)
     blame(routers[0], FATAL, 3)
     support.wait_for(
         lambda: all(
@@ -84,24 +84,24 @@
 
 
 def test_router_that_starts_learns_from_the_others_while_the_store_is_silent(
-    place,
+    cluster,
 ) -> None:
     """Guards against a replaced VM by which a request crashes servers again."""
-    place.add_server("gate-1")
-    first = place.start_router("edge-1")
-    support.wait_for(lambda: place.store.find("celeryspan-routers", "edge-1"))
-    second = place.start_router("edge-2")
+    cluster.add_server("gate-1")
+    first = cluster.start_router("edge-1")
+    support.wait_for(lambda: cluster.store.find("celeryspan-routers", "edge-1"))
+    second = cluster.start_router("edge-2")
     support.wait_for(lambda: len(second.box.find("membership").alive()) == 2)
-    place.store.faults.silent = True
+    cluster.store.faults.silent = True
     blame(first, FATAL, 3)
     support.wait_for(lambda: find_standing(second, FATAL) is Standing.QUARANTINED)
-    assert place.store.find("celeryspan-quarantine", "main") is None
+    assert cluster.store.find("celeryspan-quarantine", "main") is None
 
 
-def test_news_that_were_lost_on_the_way_are_found_by_comparison(place) -> None:
+def test_news_that_were_lost_on_the_way_are_found_by_comparison(cluster) -> None:
     """Guards against a router that was cut off and goes on to crash servers."""
-    place.add_server("gate-1")
-    routers = start_fleet(place)
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
     cut = routers[1].box.find("quarantine")
     take_frame, cut._take_frame = cut._take_frame, lambda *_: None
     handlers = routers[1].box.find("datagrams")._handlers
@@ -115,46 +115,46 @@
 
 
 @pytest.mark.parametrize("crashes", [2, 3])
-def test_restart_of_all_routers_forgets_nothing(place, crashes: int) -> None:
-    place.add_server("gate-1")
-    routers = start_fleet(place)
+def test_restart_of_all_routers_forgets_nothing(cluster, crashes: int) -> None:
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
     blame(routers[0], FATAL, crashes)
-    support.wait_for(lambda: place.store.find("celeryspan-quarantine", "main"))
+    support.wait_for(lambda: cluster.store.find("celeryspan-quarantine", "main"))
     for router in routers:
         router.stop()
-    again = place.start_router("edge-9")
+    again = cluster.start_router("edge-9")
     support.wait_for(lambda: find_standing(again, FATAL) is not Standing.CLEAR)
     expected = Standing.QUARANTINED if crashes == 3 else Standing.ISOLATED
     assert find_standing(again, FATAL) is expected
 
 
-def test_store_that_was_away_gets_what_was_seen_meanwhile(place) -> None:
-    place.add_server("gate-1")
-    routers = start_fleet(place)
-    place.store.faults.refuse_status = 503
+def test_store_that_was_away_gets_what_was_seen_meanwhile(cluster) -> None:
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
+    cluster.store.faults.refuse_status = 503
     blame(routers[0], FATAL, 3)
     support.wait_for(lambda: find_standing(routers[1], FATAL) is Standing.QUARANTINED)
-    assert place.store.find("celeryspan-quarantine", "main") is None
-    place.store.faults.refuse_status = 0
-    support.wait_for(lambda: place.store.find("celeryspan-quarantine", "main"))
+    assert cluster.store.find("celeryspan-quarantine", "main") is None
+    cluster.store.faults.refuse_status = 0
+    support.wait_for(lambda: cluster.store.find("celeryspan-quarantine", "main"))
 
 
-def test_record_is_written_once_for_the_fleet(place) -> None:
-    place.add_server("gate-1")
-    routers = start_fleet(place, 3)
+def test_record_is_written_once_for_the_fleet(cluster) -> None:
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster, 3)
     blame(routers[0], FATAL, 2)
     own = [router.box.find("quarantine") for router in routers]
     support.wait_for(lambda: all(each.digest == own[0].digest for each in own))
     support.wait_for(lambda: all(each.stored.digest == own[0].digest for each in own))
-    writes = place.store.calls_by_kind
+    writes = cluster.store.calls_by_kind
     kind = "celeryspan-quarantine"
     assert writes[f"POST {kind}"] + writes[f"PUT {kind}"] == 1
 
 
-def test_old_word_on_the_store_is_not_told_on(place) -> None:
+def test_old_word_on_the_store_is_not_told_on(cluster) -> None:
     """Guards against two words on the store that chase each other for ever."""
-    place.add_server("gate-1")
-    router = place.start_router()
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     known = router.box.find("quarantine")
     known.note_stored(messages.SuspectsStored(1, 20))
     known.note_stored(messages.SuspectsStored(2, 10))
@@ -162,31 +162,31 @@
     support.wait_for(lambda: not known._gossip)
 
 
-def test_record_of_another_writer_does_no_harm(place) -> None:
-    place.add_server("gate-1")
-    place.store.put("celeryspan-quarantine", "main", {"requests": [{"what": 1}]})
-    router = place.start_router()
+def test_record_of_another_writer_does_no_harm(cluster) -> None:
+    cluster.add_server("gate-1")
+    cluster.store.put("celeryspan-quarantine", "main", {"requests": [{"what": 1}]})
+    router = cluster.start_router()
     blame(router, FATAL, 3)
     quarantined = router.box.find("quarantine")
     support.wait_for(lambda: quarantined.stored.digest == quarantined.digest)
-    (row,) = place.store.find("celeryspan-quarantine", "main")["spec"]["requests"]
+    (row,) = cluster.store.find("celeryspan-quarantine", "main")["spec"]["requests"]
     assert row["fingerprint"] == str(fingerprint(router, FATAL))
 
 
-def test_answer_at_one_router_acquits_at_all(place) -> None:
+def test_answer_at_one_router_acquits_at_all(cluster) -> None:
     """Guards against requests that are held though servers answer them."""
-    place.add_server("gate-1")
-    routers = start_fleet(place)
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
     blame(routers[0], b"fine", 2)
     support.wait_for(lambda: find_standing(routers[1], b"fine") is Standing.ISOLATED)
     assert routers[1].call("/bookings/1", body=b"fine").status == 200
     support.wait_for(lambda: find_standing(routers[0], b"fine") is Standing.CLEAR)
 
 
-def test_copy_that_waits_is_refused_once_the_request_is_held(place) -> None:
+def test_copy_that_waits_is_refused_once_the_request_is_held(cluster) -> None:
     """Guards against a request that was queued when the verdict came."""
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     blame(router, FATAL, 2)
     server.script.append("silent")
     answers: list = []
@@ -219,9 +219,9 @@
             self.answers.append(CUT)
 
 
-def test_moved_run_is_not_resumed_once_the_request_is_held(place) -> None:
+def test_moved_run_is_not_resumed_once_the_request_is_held(cluster) -> None:
     """Guards against a copy of a request's memory that crashes one more server."""
-    moving = CutStream(place, "/drafts/1")
+    moving = CutStream(cluster, "/drafts/1")
     blame(moving.router, b"asked", 3, "/drafts/1")
     moving.move()
     assert moving.finish() == []
@@ -230,12 +230,12 @@
     assert moving.target.ran == []
 
 
-def test_innocents_beside_a_crash_are_acquitted_by_their_next_answer(place) -> None:
-    servers = crashing.CrashingServers(place.store, "planner", 2, {FATAL})
+def test_innocents_beside_a_crash_are_acquitted_by_their_next_answer(cluster) -> None:
+    servers = crashing.CrashingServers(cluster.store, "planner", 2, {FATAL})
     try:
         for server in servers.servers:
             server.event_seconds = 0.1
-        router = place.start_router()
+        router = cluster.start_router()
         innocent = threading.Thread(
             target=router.call,
             args=("/drafts/2", "r1"),
@@ -259,10 +259,10 @@
         servers.stop()
 
 
-def test_nothing_is_hashed_while_nothing_is_suspected(place, monkeypatch) -> None:
+def test_nothing_is_hashed_while_nothing_is_suspected(cluster, monkeypatch) -> None:
     """Guards against a price for every request of what one in millions needs."""
-    place.add_server("gate-1")
-    router = place.start_router()
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     watch = router.box.find("crashwatch")
     hashed: list[object] = []
     monkeypatch.setattr(watch, "find_scope", hashed.append)
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -65,10 +65,10 @@
 
 
 @pytest.fixture
-def full(place, monkeypatch):
+def full(cluster, monkeypatch):
     """Return a router that takes no request more, and its server."""
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     monkeypatch.setattr(
         overload.ConcurrencyLimiter, "admits", lambda self, count: False
     )
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -9,20 +9,20 @@
 from tests.gateway import support
 
 
-def test_stopping_router_serves_callers_that_still_have_its_address(place) -> None:
+def test_stopping_router_serves_callers_that_still_have_its_address(cluster) -> None:
     """A router stops while callers still have its address and open connections.
 
     If it ended at once, it would cut requests on open connections and refuse new ones.
     """
-    server = place.add_server("planner-1", "planner")
+    server = cluster.add_server("planner-1", "planner")
     server.event_seconds = 0.05
-    router = place.start_router()
+    router = cluster.start_router()
     connection = router.connect()
-    support.ask(connection, "/notes/1")
+    support.send_request(connection, "/notes/1")
     stop = router.box.find("stopping")
     threading.Thread(target=stop.begin).start()
     support.wait_for(lambda: router.box.find("front").draining)
-    answer = support.ask(connection, "/notes/1", "r2")
+    answer = support.send_request(connection, "/notes/1", "r2")
     assert answer.status == 200
     assert answer.getheader("Connection") == "close"
     assert router.call("/notes/1", "r3").status == 200
@@ -30,14 +30,14 @@
     assert len(server.ran) == 3
 
 
-def test_request_late_in_a_stop_is_refused_and_not_aborted(place) -> None:
+def test_request_late_in_a_stop_is_refused_and_not_aborted(cluster) -> None:
     """A caller with a cached address sends a long request shortly before the end.
 
     A request accepted 3.1 s after the signal ran for four seconds and was cut at the
     end of the grace period, though other routers could have served it.
     """
-    server = place.add_server("planner-1", "planner")
-    router = place.start_router()
+    server = cluster.add_server("planner-1", "planner")
+    router = cluster.start_router()
     front = router.box.find("front")
     threading.Thread(target=router.box.find("stopping").begin).start()
     support.wait_for(lambda: front.refusing)
@@ -53,13 +53,13 @@
     assert 2.5 <= accepted_seconds < cached_seconds
 
 
-def test_requests_are_served_after_the_home_of_their_pool_has_stopped(place) -> None:
+def test_requests_are_served_after_the_home_of_their_pool_has_stopped(cluster) -> None:
     """The router that is the home of a pool stops.
 
     Without a new home, requests on the other routers would wait until they time out.
     """
-    place.add_server("gate-1")
-    routers = [place.start_router(f"edge-{number}") for number in range(3)]
+    cluster.add_server("gate-1")
+    routers = [cluster.start_router(f"edge-{number}") for number in range(3)]
     for router in routers:
         membership = router.box.find("membership")
         support.wait_for(lambda found=membership: len(found.alive()) == 3)
