--- a/celeryspan/gateway/relays.py
+++ b/celeryspan/gateway/relays.py
@@ -87,7 +87,7 @@
         self._thread.join()
 
     def report(self) -> dict[str, object]:
-        """Return the sources of each kind, and the revision and age of its data."""
+        """Return, by kind, readers, sources, and revision and age of the data."""
         now = time.monotonic()
         return {
             kind: {
