--- a/celeryspan/gateway/poolhomes.py
+++ b/celeryspan/gateway/poolhomes.py
@@ -200,7 +200,7 @@
         pool.set_servers(entries, service.engine if service else None)
         for entry in pool.pop_unqueried():
             add_parts = functools.partial(self._add_cached_parts, pool.name)
-            self._kept_parts.ask(entry, add_parts)
+            self._kept_parts.query(entry, add_parts)
 
     def _add_cached_parts(
         self,
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -40,13 +40,13 @@
 
 
 @pytest.fixture
-def crash(place) -> Iterator[callable]:
+def crash(cluster) -> Iterator[callable]:
     """Return a function that starts servers of a service that crash on one body."""
     started: list[crashing.CrashingServers] = []
 
     def start(service: str, count: int = 3, **values: object):
         servers = crashing.CrashingServers(
-            place.store, service, count, {FATAL}, **values
+            cluster.store, service, count, {FATAL}, **values
         )
         started.append(servers)
         return servers
@@ -88,23 +88,25 @@
 
 @for_kinds(PATHS)
 def test_request_that_crashed_three_servers_reaches_at_most_three_more(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against a resubmitted request that crashes one server after another."""
     servers = crash(service)
-    routers = [place.start_router(f"edge-{index}") for index in range(2)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(2)]
     repeat(routers, path, 30)
     assert count_late_sends(servers) <= LATE_SENDS_MAX
 
 
 @for_kinds(["once only"])
 def test_crash_limit_persists_when_all_routers_restart(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against restarted routers that forget which requests crash servers."""
     servers = crash(service)
     for restart in range(4):
-        routers = [place.start_router(f"edge-{restart}-{index}") for index in range(2)]
+        routers = [
+            cluster.start_router(f"edge-{restart}-{index}") for index in range(2)
+        ]
         repeat(routers, path, 8)
         for router in routers:
             router.stop()
@@ -113,11 +115,11 @@
 
 @for_kinds(["plain", "resumable"])
 def test_other_requests_of_the_account_are_served_while_one_crashes_servers(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against one request that makes a whole service unavailable."""
     servers = crash(service)
-    routers = [place.start_router(f"edge-{index}") for index in range(2)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(2)]
     fatal = threading.Thread(target=repeat, args=(routers, path, 30), daemon=True)
     fatal.start()
     attempts = []
@@ -137,11 +139,11 @@
 
 @for_kinds(["plain", "resumable"])
 def test_identical_requests_are_served_while_servers_crash_for_another_reason(
-    place, crash, path: str, service: str
+    cluster, crash, path: str, service: str
 ) -> None:
     """Guards against blaming popular requests for crashes they did not cause."""
     servers = crash(service)
-    routers = [place.start_router(f"edge-{index}") for index in range(2)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(2)]
     statuses = []
     for number, router in zip(range(50), itertools.cycle(routers), strict=False):
         if number % 8 == 4:
--- a/tests/gateway/test_descriptors.py
+++ b/tests/gateway/test_descriptors.py
@@ -30,19 +30,19 @@
     connection = stack.enter_context(
         contextlib.closing(processes.connect(router.caller_address))
     )
-    return support.ask(connection, "/bookings/1", f"r{number}").status
+    return support.send_request(connection, "/bookings/1", f"r{number}").status
 
 
 def test_callers_that_keep_their_connections_are_all_served(
-    place: support.Place, tmp_path: pathlib.Path
+    cluster: support.Cluster, tmp_path: pathlib.Path
 ) -> None:
     """All callers use one router and a new connection for each request.
 
     Every request must be answered: the router must close idle connections before it
     runs out of file descriptors.
     """
-    place.add_server("gate-1")
-    store = str(place.store.address)
+    cluster.add_server("gate-1")
+    store = str(cluster.store.address)
     with contextlib.ExitStack() as stack:
         router = stack.enter_context(
             processes.run_router(tmp_path, store, DESCRIPTORS_MAX)
@@ -54,14 +54,14 @@
 
 
 def test_directory_and_readiness_answer_while_connections_accumulate(
-    place: support.Place, tmp_path: pathlib.Path
+    cluster: support.Cluster, tmp_path: pathlib.Path
 ) -> None:
     """The process runs out of descriptors, so that its directory cannot accept either.
 
     Callers then keep their list of addresses and stay with the overloaded router.
     """
-    place.add_server("gate-1")
-    store = str(place.store.address)
+    cluster.add_server("gate-1")
+    store = str(cluster.store.address)
     with contextlib.ExitStack() as stack:
         router = stack.enter_context(
             processes.run_router(tmp_path, store, DESCRIPTORS_MAX)
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -14,9 +14,9 @@
 from tests.gateway import support
 
 
-def test_request_reaches_its_server_and_the_answer_its_caller(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_request_reaches_its_server_and_the_answer_its_caller(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     answer = router.call("/bookings/7?stand=12", headers={"X-Note": "urgent"})
     assert (answer.status, answer.text) == (200, b"served")
     assert answer.getheader("Celeryspan-Server-Stamp") == "gate-1.1"
@@ -30,14 +30,14 @@
     assert 0 < int(seen.headers["celeryspan-deadline-ms"]) <= 2000
 
 
-def test_time_waiting_for_a_thread_counts_towards_the_deadline(place) -> None:
+def test_time_waiting_for_a_thread_counts_towards_the_deadline(cluster) -> None:
     """A request waits for a thread of a busy router until its deadline has passed.
 
     The timeout used to start when the thread read the request, which was then forwarded
     after its caller had left.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     front = router.box.find("front")
     original_serve = front.serve
 
@@ -51,14 +51,14 @@
     assert server.seen == []
 
 
-def test_internal_headers_of_callers_are_not_forwarded(place) -> None:
+def test_internal_headers_of_callers_are_not_forwarded(cluster) -> None:
     """A caller sets the internal headers for account, server and cached memory.
 
     If these were forwarded, the request would be charged to another account or continue
     from the memory of another caller's request.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     forged = {
         "Celeryspan-Tenant": "another",
         "Celeryspan-Kv-Hold": "h1",
@@ -79,9 +79,9 @@
     assert support.KEY not in seen.headers.values()
 
 
-def test_unknown_route_and_key_are_refused_without_a_server(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_unknown_route_and_key_are_refused_without_a_server(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     assert router.call("/elsewhere/1").status == 404
     assert router.call("/bookings").status == 404
     assert router.call("/bookings/1", key="guessed").status == 401
@@ -89,12 +89,12 @@
     assert server.seen == []
 
 
-def test_anonymous_route_needs_no_key_and_ignores_a_wrong_one(place) -> None:
+def test_anonymous_route_needs_no_key_and_ignores_a_wrong_one(cluster) -> None:
     configuration = support.make_configuration(2)
     configuration["routes"][0]["anonymous"] = True
-    place.store.put("config", "main", configuration)
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    cluster.store.put("config", "main", configuration)
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     assert router.call("/calls/1", key="").status == 200
     assert router.call("/calls/1", key="guessed").status == 200
     assert "celeryspan-tenant" not in server.seen[0].headers
@@ -105,8 +105,8 @@
 
     A caller that received 404 or 401 would not retry, although its route exists.
     """
-    with support.open_place(configured=False) as place:
-        router = place.start_router()
+    with support.open_cluster(configured=False) as cluster:
+        router = cluster.start_router()
         answer = router.call("/bookings/1")
         assert answer.status == 503
         assert float(answer.getheader("Retry-After")) > 0
@@ -115,21 +115,21 @@
         assert ready == 503
 
 
-def test_chunked_body_arrives_complete(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_chunked_body_arrives_complete(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     answer = router.call("/bookings/1", body=iter([b"one ", b"two"]))
     assert answer.status == 200
     assert server.seen[0].body == b"one two"
 
 
-def test_incomplete_body_reaches_no_server(place) -> None:
+def test_incomplete_body_reaches_no_server(cluster) -> None:
     """A caller announces ten bytes, sends three and disconnects.
 
     A server that received the partial body would execute a request nobody has made.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port))) as caller:
         head = f"POST /bookings/1 HTTP/1.1\r\nHost: {support.HOST}\r\n"
@@ -146,14 +146,14 @@
         "Content-Length: +5\r\n",
     ],
 )
-def test_request_with_ambiguous_length_is_refused(place, framing: str) -> None:
+def test_request_with_ambiguous_length_is_refused(cluster, framing: str) -> None:
     """Guards against request smuggling through an ambiguous length.
 
     If it were forwarded, the hidden second request would run with the credentials of
     the next user of the server connection.
     """
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     host, _, port = router.settings.caller_address.partition(":")
     with socket.create_connection((host, int(port)), timeout=5) as caller:
         head = f"POST /bookings/1 HTTP/1.1\r\nHost: {support.HOST}\r\n{framing}\r\n"
@@ -175,23 +175,23 @@
     A router that kept the peers' initial state would list only itself. All callers near
     it would use one router, which runs out of threads while the others are idle.
     """
-    with support.open_place(configured=False) as place:
-        place.add_server("gate-1")
-        routers = [place.start_router(f"edge-{number}") for number in range(2)]
+    with support.open_cluster(configured=False) as cluster:
+        cluster.add_server("gate-1")
+        routers = [cluster.start_router(f"edge-{number}") for number in range(2)]
         for router in routers:
             membership = router.box.find("membership")
             support.wait_for(lambda found=membership: len(found.alive()) == 2)
             assert resolve(router) == set()
-        place.store.put("config", "main", support.make_configuration())
+        cluster.store.put("config", "main", support.make_configuration())
         both = {router.settings.caller_address for router in routers}
         for router in routers:
             support.wait_for(lambda found=router: resolve(found) == both)
 
 
-def test_directory_lists_ready_routers_and_omits_one_that_stops(place) -> None:
-    place.add_server("gate-1")
-    first = place.start_router("edge-1")
-    second = place.start_router("edge-2")
+def test_directory_lists_ready_routers_and_omits_one_that_stops(cluster) -> None:
+    cluster.add_server("gate-1")
+    first = cluster.start_router("edge-1")
+    second = cluster.start_router("edge-2")
     both = {first.settings.caller_address, second.settings.caller_address}
 
     support.wait_for(lambda: resolve(first) == both and resolve(second) == both)
@@ -203,12 +203,12 @@
     assert second.call("/bookings/1").status == 200
 
 
-def test_refusals_and_connections_are_counted(place) -> None:
-    place.add_server("gate-1")
-    router = place.start_router()
+def test_refusals_and_connections_are_counted(cluster) -> None:
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     assert router.call("/elsewhere/1").status == 404
     connection = router.connect()
-    assert support.ask(connection, "/bookings/1").status == 200
+    assert support.send_request(connection, "/bookings/1").status == 200
 
     def read_metrics() -> str:
         return router.get(router.settings.ready_address, names.METRICS)[1].decode()
--- a/tests/gateway/test_full_router.py
+++ b/tests/gateway/test_full_router.py
@@ -31,13 +31,15 @@
 def ask(router: processes.ProcessRouter, request: str) -> CallerResult:
     """Send one request on a new connection."""
     with contextlib.closing(processes.connect(router.caller_address)) as connection:
-        answer = support.ask(connection, "/notes/1", request, headers=LONG_DEADLINE)
+        answer = support.send_request(
+            connection, "/notes/1", request, headers=LONG_DEADLINE
+        )
         retry_after = answer.getheader("Retry-After")
         return CallerResult(request, answer.status, retry_after, answer.text)
 
 
 def test_every_caller_of_a_full_router_is_served_or_gets_a_retry_time(
-    place: support.Place, tmp_path: pathlib.Path
+    cluster: support.Cluster, tmp_path: pathlib.Path
 ) -> None:
     """All callers of an account use one router at once, far above its limit.
 
@@ -45,9 +47,9 @@
     directory of the same process did not answer, so that they stayed with this router.
     Each caller must get the complete stream or a correct refusal with Retry-After.
     """
-    engine = place.add_server("planner-1", "planner", slots=64)
+    engine = cluster.add_server("planner-1", "planner", slots=64)
     engine.event_seconds = 0.02
-    store = str(place.store.address)
+    store = str(cluster.store.address)
     with processes.run_router(tmp_path, store, threads=THREADS) as router:
         with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
             futures = [pool.submit(ask, router, f"r{n}") for n in range(CALLERS)]
--- a/tests/gateway/test_migrations.py
+++ b/tests/gateway/test_migrations.py
@@ -27,14 +27,14 @@
         The caller's answer, once it is complete.
     """
 
-    def __init__(self, place: support.Place, path: str) -> None:
+    def __init__(self, cluster: support.Cluster, path: str) -> None:
         engines = [
-            place.add_server("gpu-1", "planner"),
-            place.add_server("gpu-2", "planner"),
+            cluster.add_server("gpu-1", "planner"),
+            cluster.add_server("gpu-2", "planner"),
         ]
         for engine in engines:
             engine.event_seconds = 0.2
-        self.router = place.start_router()
+        self.router = cluster.start_router()
         self.answers: list = []
         self._thread = threading.Thread(target=self._ask, args=(path,))
         self._thread.start()
@@ -68,9 +68,9 @@
 
 
 @pytest.fixture(params=["/drafts/1", "/notes/1"])
-def stream(place, request) -> MigratingStream:
+def stream(cluster, request) -> MigratingStream:
     """Return a stream in progress, on a resumable and on a non-resumable route."""
-    return MigratingStream(place, request.param)
+    return MigratingStream(cluster, request.param)
 
 
 def test_stream_resumes_at_the_target_engine(stream: MigratingStream) -> None:
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -46,17 +46,17 @@
     router.box.find("quarantine").merge([suspect])
 
 
-def start_fleet(place: support.Place, count: int = 2) -> list[support.Router]:
+def start_fleet(cluster: support.Cluster, count: int = 2) -> list[support.Router]:
     """Start routers and wait until each lists all others as alive."""
-    routers = [place.start_router(f"edge-{index}") for index in range(count)]
+    routers = [cluster.start_router(f"edge-{index}") for index in range(count)]
     found = [router.box.find("membership") for router in routers]
     support.wait_for(lambda: all(len(each.alive()) == count for each in found))
     return routers
 
 
-def test_quarantined_request_is_refused_with_the_reason_and_never_runs(place) -> None:
-    server = place.add_server("gate-1")
-    router = place.start_router()
+def test_quarantined_request_is_refused_with_the_reason_and_never_runs(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     add_strikes(router, FATAL, 3)
     answer = router.call("/bookings/1", body=FATAL)
     assert answer.status == 429
@@ -69,9 +69,9 @@
     assert server.ran == ["r2", "r3"]
 
 
-def test_quarantine_at_one_router_applies_at_all(place) -> None:
-    server = place.add_server("gate-1")
-    routers = start_fleet(place, 3)
+def test_quarantine_at_one_router_applies_at_all(cluster) -> None:
+    server = cluster.add_server("gate-1")
+    routers = start_fleet(cluster, 3)
     add_strikes(routers[0], FATAL, 3)
     support.wait_for(
         lambda: all(
@@ -84,24 +84,24 @@
 
 
 def test_new_router_learns_from_the_others_while_the_store_is_unavailable(
-    place,
+    cluster,
 ) -> None:
     """Guards against a replaced VM whose router sends a quarantined request."""
-    place.add_server("gate-1")
-    first = place.start_router("edge-1")
-    support.wait_for(lambda: place.store.find("celeryspan-routers", "edge-1"))
-    second = place.start_router("edge-2")
+    cluster.add_server("gate-1")
+    first = cluster.start_router("edge-1")
+    support.wait_for(lambda: cluster.store.find("celeryspan-routers", "edge-1"))
+    second = cluster.start_router("edge-2")
     support.wait_for(lambda: len(second.box.find("membership").alive()) == 2)
-    place.store.faults.silent = True
+    cluster.store.faults.silent = True
     add_strikes(first, FATAL, 3)
     support.wait_for(lambda: find_standing(second, FATAL) is Standing.QUARANTINED)
-    assert place.store.find("celeryspan-quarantine", "main") is None
+    assert cluster.store.find("celeryspan-quarantine", "main") is None
 
 
-def test_lost_updates_are_recovered_by_comparing_digests(place) -> None:
+def test_lost_updates_are_recovered_by_comparing_digests(cluster) -> None:
     """Guards against a router that missed updates while it was partitioned."""
-    place.add_server("gate-1")
-    routers = start_fleet(place)
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
     partitioned = routers[1].box.find("quarantine")
     handle_frame = partitioned._handle_frame
     partitioned._handle_frame = lambda *_: None
@@ -116,33 +116,33 @@
 
 
 @pytest.mark.parametrize("crashes", [2, 3])
-def test_suspects_persist_when_all_routers_restart(place, crashes: int) -> None:
-    place.add_server("gate-1")
-    routers = start_fleet(place)
+def test_suspects_persist_when_all_routers_restart(cluster, crashes: int) -> None:
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
     add_strikes(routers[0], FATAL, crashes)
-    support.wait_for(lambda: place.store.find("celeryspan-quarantine", "main"))
+    support.wait_for(lambda: cluster.store.find("celeryspan-quarantine", "main"))
     for router in routers:
         router.stop()
-    restarted = place.start_router("edge-9")
+    restarted = cluster.start_router("edge-9")
     support.wait_for(lambda: find_standing(restarted, FATAL) is not Standing.CLEAR)
     expected = Standing.QUARANTINED if crashes == 3 else Standing.ISOLATED
     assert find_standing(restarted, FATAL) is expected
 
 
-def test_suspects_are_stored_once_the_store_is_available_again(place) -> None:
-    place.add_server("gate-1")
-    routers = start_fleet(place)
-    place.store.faults.refuse_status = 503
+def test_suspects_are_stored_once_the_store_is_available_again(cluster) -> None:
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
+    cluster.store.faults.refuse_status = 503
     add_strikes(routers[0], FATAL, 3)
     support.wait_for(lambda: find_standing(routers[1], FATAL) is Standing.QUARANTINED)
-    assert place.store.find("celeryspan-quarantine", "main") is None
-    place.store.faults.refuse_status = 0
-    support.wait_for(lambda: place.store.find("celeryspan-quarantine", "main"))
+    assert cluster.store.find("celeryspan-quarantine", "main") is None
+    cluster.store.faults.refuse_status = 0
+    support.wait_for(lambda: cluster.store.find("celeryspan-quarantine", "main"))
 
 
-def test_suspects_are_written_once_for_the_fleet(place) -> None:
-    place.add_server("gate-1")
-    routers = start_fleet(place, 3)
+def test_suspects_are_written_once_for_the_fleet(cluster) -> None:
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster, 3)
     add_strikes(routers[0], FATAL, 2)
     services = [router.box.find("quarantine") for router in routers]
     support.wait_for(
@@ -151,15 +151,15 @@
     support.wait_for(
         lambda: all(each.stored.digest == services[0].digest for each in services)
     )
-    writes = place.store.calls_by_kind
+    writes = cluster.store.calls_by_kind
     kind = "celeryspan-quarantine"
     assert writes[f"POST {kind}"] + writes[f"PUT {kind}"] == 1
 
 
-def test_outdated_stored_fact_is_ignored(place) -> None:
+def test_outdated_stored_fact_is_ignored(cluster) -> None:
     """Guards against two contradictory facts that the fleet gossips for ever."""
-    place.add_server("gate-1")
-    router = place.start_router()
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     service = router.box.find("quarantine")
     service.record_stored(messages.SuspectsStored(1, 20))
     service.record_stored(messages.SuspectsStored(2, 10))
@@ -167,31 +167,31 @@
     support.wait_for(lambda: not service._gossip)
 
 
-def test_invalid_stored_object_is_replaced(place) -> None:
-    place.add_server("gate-1")
-    place.store.put("celeryspan-quarantine", "main", {"requests": [{"what": 1}]})
-    router = place.start_router()
+def test_invalid_stored_object_is_replaced(cluster) -> None:
+    cluster.add_server("gate-1")
+    cluster.store.put("celeryspan-quarantine", "main", {"requests": [{"what": 1}]})
+    router = cluster.start_router()
     add_strikes(router, FATAL, 3)
     service = router.box.find("quarantine")
     support.wait_for(lambda: service.stored.digest == service.digest)
-    (row,) = place.store.find("celeryspan-quarantine", "main")["spec"]["requests"]
+    (row,) = cluster.store.find("celeryspan-quarantine", "main")["spec"]["requests"]
     assert row["fingerprint"] == str(compute_fingerprint(router, FATAL))
 
 
-def test_acquittal_at_one_router_applies_at_all(place) -> None:
+def test_acquittal_at_one_router_applies_at_all(cluster) -> None:
     """Guards against restricting requests that servers answer."""
-    place.add_server("gate-1")
-    routers = start_fleet(place)
+    cluster.add_server("gate-1")
+    routers = start_fleet(cluster)
     add_strikes(routers[0], b"fine", 2)
     support.wait_for(lambda: find_standing(routers[1], b"fine") is Standing.ISOLATED)
     assert routers[1].call("/bookings/1", body=b"fine").status == 200
     support.wait_for(lambda: find_standing(routers[0], b"fine") is Standing.CLEAR)
 
 
-def test_waiting_copy_is_refused_once_the_request_is_quarantined(place) -> None:
+def test_waiting_copy_is_refused_once_the_request_is_quarantined(cluster) -> None:
     """Guards against sending a copy that was queued before the quarantine."""
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     add_strikes(router, FATAL, 2)
     server.script.append("silent")
     answers: list = []
@@ -224,9 +224,9 @@
             self.answers.append(CUT_ANSWER)
 
 
-def test_migrating_run_is_not_resumed_once_the_request_is_quarantined(place) -> None:
+def test_migrating_run_is_not_resumed_once_the_request_is_quarantined(cluster) -> None:
     """Guards against a run that migrates and crashes its target server as well."""
-    moving = CutStream(place, "/drafts/1")
+    moving = CutStream(cluster, "/drafts/1")
     add_strikes(moving.router, b"asked", 3, "/drafts/1")
     moving.request_migration()
     assert moving.finish() == []
@@ -235,12 +235,14 @@
     assert moving.target.ran == []
 
 
-def test_request_that_ran_during_a_crash_is_acquitted_by_its_next_answer(place) -> None:
-    servers = crashing.CrashingServers(place.store, "planner", 2, {FATAL})
+def test_request_that_ran_during_a_crash_is_acquitted_by_its_next_answer(
+    cluster,
+) -> None:
+    servers = crashing.CrashingServers(cluster.store, "planner", 2, {FATAL})
     try:
         for server in servers.servers:
             server.event_seconds = 0.1
-        router = place.start_router()
+        router = cluster.start_router()
         bystander = threading.Thread(
             target=router.call,
             args=("/drafts/2", "r1"),
@@ -264,10 +266,10 @@
         servers.stop()
 
 
-def test_no_request_is_hashed_while_there_are_no_suspects(place, monkeypatch) -> None:
+def test_no_request_is_hashed_while_there_are_no_suspects(cluster, monkeypatch) -> None:
     """Guards against hashing every request for the sake of very few suspects."""
-    place.add_server("gate-1")
-    router = place.start_router()
+    cluster.add_server("gate-1")
+    router = cluster.start_router()
     crash_watch = router.box.find("crashwatch")
     hashed: list[object] = []
     monkeypatch.setattr(crash_watch, "compute_scope", hashed.append)
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -65,10 +65,10 @@
 
 
 @pytest.fixture
-def full_router(place, monkeypatch):
+def full_router(cluster, monkeypatch):
     """Return a router that is at its concurrency limit, and its backend server."""
-    server = place.add_server("gate-1")
-    router = place.start_router()
+    server = cluster.add_server("gate-1")
+    router = cluster.start_router()
     monkeypatch.setattr(
         overload.ConcurrencyLimiter, "admits", lambda self, count: False
     )
