--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -176,13 +176,14 @@
     def _publish(self, crash: crashes.Crash | None) -> None:
         if crash is None:
             return
-        logged_runs = crash.runs[:LOGGED_FINGERPRINTS_MAX]
         events.log(
             events.Event.SERVER_CRASHED,
             server=crash.server,
             evidence=crash.evidence.value,
             runs=len(crash.runs),
-            fingerprints=[str(run.fingerprint) for run in logged_runs],
+            fingerprints=[
+                str(run.fingerprint) for run in crash.runs[:LOGGED_FINGERPRINTS_MAX]
+            ],
         )
         for handler in self._handlers:
             handler(crash)
--- a/celeryspan/gateway/places.py
+++ b/celeryspan/gateway/places.py
@@ -321,8 +321,9 @@
         outgoing: list[tuple[ids.RouterId, messages.Message]] = []
         with self._lock:
             for waiter in self._waiters.values():
-                elapsed_min = SWITCH_INTERVAL_SECONDS * (waiter.switches + 1)
-                due = waiter.requested_at + elapsed_min
+                due = waiter.requested_at + SWITCH_INTERVAL_SECONDS * (
+                    waiter.switches + 1
+                )
                 if now < due or waiter.switches >= SWITCHES_MAX:
                     continue
                 pool = self._map.find_better_pool(waiter.ask.pool, waiter.ask, now)
--- a/celeryspan/gateway/poolhomes.py
+++ b/celeryspan/gateway/poolhomes.py
@@ -199,8 +199,9 @@
         entries = self._map.list_servers(pool.name, self._servers.usable())
         pool.set_servers(entries, service.engine if service else None)
         for entry in pool.pop_unqueried():
-            add_parts = functools.partial(self._add_cached_parts, pool.name)
-            self._kept_parts.ask(entry, add_parts)
+            self._kept_parts.ask(
+                entry, functools.partial(self._add_cached_parts, pool.name)
+            )
 
     def _add_cached_parts(
         self,
@@ -287,11 +288,14 @@
         """Run a tick of all pools; return whether any request is waiting."""
         self._send_shares(now)
         self._log_backlogs(now)
-        is_alive_due = now - self._alive_sent_at > QUEUE_ALIVE_SECONDS
         with self._lock:
             answers = [a for pool in self._pools.values() for a in pool.tick(now)]
             has_waiting = any(pool.count_waiting() for pool in self._pools.values())
-            alive = self._make_alive_messages(now) if is_alive_due else []
+            alive = (
+                self._make_alive_messages(now)
+                if now - self._alive_sent_at > QUEUE_ALIVE_SECONDS
+                else []
+            )
         if alive:
             self._alive_sent_at = now
         for router, message in alive:
@@ -310,12 +314,13 @@
             }
         for name, backlogs in found.items():
             if backlogs:
-                largest = backlogs[:LOGGED_BACKLOGS_MAX]
                 events.log(
                     events.Event.ACCOUNTS_WAIT,
                     pool=name,
                     accounts=len(backlogs),
-                    most=[format_backlog(each) for each in largest],
+                    most=[
+                        format_backlog(each) for each in backlogs[:LOGGED_BACKLOGS_MAX]
+                    ],
                 )
 
     def _make_alive_messages(
--- a/celeryspan/gateway/quarantinestore.py
+++ b/celeryspan/gateway/quarantinestore.py
@@ -83,10 +83,10 @@
         now = time.monotonic()
         affected = {each.before for each in changes} | {each.after for each in changes}
         is_urgent = not affected.isdisjoint(RESTRICTED_STANDINGS)
-        due_at = now + (TICK_SECONDS if is_urgent else WRITE_DELAY_SECONDS)
+        delay = TICK_SECONDS if is_urgent else WRITE_DELAY_SECONDS
         is_write_pending = not self._is_stored() and self._write_due_at > now
         self._write_due_at = (
-            min(self._write_due_at, due_at) if is_write_pending else due_at
+            min(self._write_due_at, now + delay) if is_write_pending else now + delay
         )
         self._wake.set()
 
