--- a/celeryspan/services/assignment.py
+++ b/celeryspan/services/assignment.py
@@ -1,4 +1,4 @@
-"""The kernel service ``assignment``: which router is home of which backend server."""
+"""The kernel service ``assignment``: maps each backend server to its home router."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 
 Handler = Callable[[tuple[homes.HomeChange, ...]], None]
 
+# Member states in which a router may be a home. A leaving router is none any more. A
+# suspected one still is: most suspicions are refuted, and each move needs a recovery.
 HOME_STATES = frozenset({states.MemberState.ALIVE, states.MemberState.SUSPECT})
-"""A router that leaves is no home any more; a suspected one still is, since most
-suspicions are refuted and each move costs a recovery."""
 
 
 @kernel.register("assignment", needs=("configuration", "membership"))
 class AssignmentService:
     """Recomputes the homes when the membership or the configuration changes."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._configuration: configuration_service.ConfigurationService = box.find(
-            "configuration"
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._configuration: configuration_service.ConfigurationService = (
+            container.find("configuration")
         )
-        self._membership: membership.MembershipService = box.find("membership")
+        self._membership: membership.MembershipService = container.find("membership")
         self._homes: dict[ids.ServerId, ids.RouterId] = {}
-        self._services: dict[ids.ServiceId, frozenset[ids.RouterId]] = {}
-        self._maps: dict[ids.ServiceId, dict[ids.ServerId, ids.RouterId]] = {}
+        self._service_homes: dict[ids.ServiceId, frozenset[ids.RouterId]] = {}
+        self._homes_by_service: dict[
+            ids.ServiceId, dict[ids.ServerId, ids.RouterId]
+        ] = {}
         self._incarnations: dict[ids.RouterId, ids.Incarnation] = {}
         self._handlers: list[Handler] = []
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Follow membership and configuration."""
+        """Subscribe to changes of membership and configuration."""
         self._membership.subscribe(lambda *_: self.refresh())
         self._configuration.subscribe(lambda *_: self.refresh())
 
     def stop(self) -> None:
-        """Nothing to end: whoever calls has stopped before."""
+        """Do nothing: the services that call this one have stopped before."""
 
     def subscribe(self, handler: Handler) -> None:
-        """Call a handler with the servers whose home changed."""
+        """Call a handler with the changes of homes, first with the current homes."""
         with self._lock:
             self._handlers.append(handler)
-            moves = homes.find_changes({}, self._homes)
-        if moves:
-            handler(moves)
+            changes = homes.find_changes({}, self._homes)
+        if changes:
+            handler(changes)
 
     def find_home(self, server: ids.ServerId) -> ids.RouterId | None:
         """Return the home of a backend server, or None if it has none."""
@@ -59,56 +61,58 @@
 
     def find_homes(self, service: ids.ServiceId) -> frozenset[ids.RouterId]:
         """Return the homes of all backend servers of a service."""
-        return self._services.get(service, frozenset())
+        return self._service_homes.get(service, frozenset())
 
-    def map_servers(self, service: ids.ServiceId) -> dict[ids.ServerId, ids.RouterId]:
+    def find_homes_by_server(
+        self, service: ids.ServiceId
+    ) -> dict[ids.ServerId, ids.RouterId]:
         """Return the home of each backend server of a service."""
-        return self._maps.get(service, {})
+        return self._homes_by_service.get(service, {})
 
-    def maps(self) -> dict[ids.ServiceId, dict[ids.ServerId, ids.RouterId]]:
+    def homes_by_service(self) -> dict[ids.ServiceId, dict[ids.ServerId, ids.RouterId]]:
         """Return the home of each backend server, by service."""
-        return self._maps
+        return self._homes_by_service
 
-    def live(self) -> frozenset[ids.RouterId]:
+    def live_routers(self) -> frozenset[ids.RouterId]:
         """Return the routers that may be homes."""
         members = self._membership.alive()
         return frozenset(item.router for item in members if item.state in HOME_STATES)
 
     def members(self) -> list[messages.Member]:
-        """Return the routers that may hold slots, leaving ones included."""
+        """Return the routers that may hold slots, including leaving ones."""
         members = self._membership.members()
         return [item for item in members if item.state is not states.MemberState.DEAD]
 
     def refresh(self) -> None:
-        """Recompute the homes and tell the handlers what moved."""
+        """Recompute the homes and call the handlers with the changes."""
         current = self._configuration.current()
         if current is None:
             return
         with self._lock:
             restarted = self._find_restarted()
-            found = homes.assign_homes(current.servers, self.live())
+            assigned = homes.assign_homes(current.servers, self.live_routers())
             known = {
                 server: home
                 for server, home in self._homes.items()
                 if home not in restarted
             }
-            moves = homes.find_changes(known, found)
-            self._homes = found
-            self._maps = group_by_service(current, found)
-            self._services = {
+            changes = homes.find_changes(known, assigned)
+            self._homes = assigned
+            self._homes_by_service = group_by_service(current, assigned)
+            self._service_homes = {
                 service: frozenset(group.values())
-                for service, group in self._maps.items()
+                for service, group in self._homes_by_service.items()
             }
             handlers = list(self._handlers)
-        for handler in handlers if moves else ():
-            handler(moves)
+        for handler in handlers if changes else ():
+            handler(changes)
 
     def _find_restarted(self) -> set[ids.RouterId]:
-        """Return routers that run again under the same name, without any state.
+        """Return the routers that have restarted and lost their state.
 
-        A router that restarts faster than it is missed keeps its servers; unless its
-        homes count as new, nobody tells it which slots are in use and who received
-        what, and it grants whole windows again.
+        A router that restarts before it is declared dead keeps its servers. Unless
+        these count as newly assigned, no router reports held slots and received
+        service to it, and it grants whole windows again.
         """
         newest = {item.router: item.incarnation for item in self._membership.alive()}
         restarted = {
@@ -126,11 +130,11 @@
 
 def group_by_service(
     current: configuration.Configuration,
-    found: dict[ids.ServerId, ids.RouterId],
+    assigned: dict[ids.ServerId, ids.RouterId],
 ) -> dict[ids.ServiceId, dict[ids.ServerId, ids.RouterId]]:
     """Return the home of each backend server, by service."""
     groups: dict[ids.ServiceId, dict[ids.ServerId, ids.RouterId]] = {}
-    for server, home in found.items():
+    for server, home in assigned.items():
         service = ids.ServiceId(current.servers[server].service)
         groups.setdefault(service, {})[server] = home
     return groups
--- a/celeryspan/services/counters.py
+++ b/celeryspan/services/counters.py
@@ -1,4 +1,4 @@
-"""The kernel service ``counters``: service received by each account, kept and told."""
+"""The kernel service ``counters``: counts and reports each account's service."""
 
 from __future__ import annotations
 
@@ -20,38 +20,38 @@
         identity,
     )
 
-TICK_SECONDS = 0.02
-"""How often unreported service is held against the bound, in seconds. At 100 ms the
-homes of a service of short requests grant several slots before they hear of each
-other."""
+# Interval at which unreported service is compared with the threshold. At 100 ms the
+# homes of a service with short requests grant several slots before they receive each
+# other's reports.
+REPORT_CHECK_SECONDS = 0.02
 
-FOLD_SECONDS = 60.0
-"""How long the counters of an ended incarnation are kept apart, in seconds: late ones
-still come by way of peers that were cut off for a while."""
+# Time before the counters of an ended incarnation are folded into the totals: late
+# values may still arrive from peers that were partitioned.
+FOLD_DELAY_SECONDS = 60.0
 
 
 @kernel.register(
     "counters", needs=("assignment", "configuration", "delivery", "identity")
 )
 class CountersService:
-    """Holds the counters of this router, and exchanges them with the homes.
+    """Holds the counters of this router and exchanges them with the homes.
 
     Attributes
     ----------
     lock : RLock
-        Held by whoever reads or changes ``counters`` or a ledger built on them.
+        Guards ``counters`` and any ledger that uses them.
     backlogged : frozenset
-        (service, account) pairs that wait anywhere, as the home on this router knows.
+        (service, account) pairs with waiting requests, as known to the local home.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._assignment: assignment.AssignmentService = box.find("assignment")
-        self._configuration: configuration_service.ConfigurationService = box.find(
-            "configuration"
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._assignment: assignment.AssignmentService = container.find("assignment")
+        self._configuration: configuration_service.ConfigurationService = (
+            container.find("configuration")
         )
-        self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._identity: identity.IdentityService = box.find("identity")
-        self._exchange = reporting.CounterReporter(reporting.ThresholdRule())
+        self._delivery: delivery.DeliveryService = container.find("delivery")
+        self._identity: identity.IdentityService = container.find("identity")
+        self._reporter = reporting.CounterReporter(reporting.ThresholdRule())
         self._incarnations: dict[ids.RouterId, ids.Incarnation] = {}
         self._folds: collections.deque[tuple[float, ids.RouterId, ids.Incarnation]] = (
             collections.deque()
@@ -62,34 +62,34 @@
         self.lock = threading.RLock()
         self.backlogged: frozenset[sharing.Key] = frozenset()
         self.counters = sharing.Counters(
-            self._identity.router, self._identity.incarnation, self._weigh
+            self._identity.router, self._identity.incarnation, self._find_weight
         )
 
     def start(self) -> None:
-        """Begin to exchange."""
-        self._delivery.subscribe(messages.Counter, self._take_counter)
-        self._delivery.subscribe(messages.Lift, self._take_lift)
-        self._delivery.subscribe(messages.Pending, self._take_pending)
-        self._delivery.subscribe(messages.Snapshot, self._take_snapshot)
-        self._assignment.subscribe(self._teach)
+        """Subscribe to counter messages and start reporting."""
+        self._delivery.subscribe(messages.Counter, self._handle_counter)
+        self._delivery.subscribe(messages.Lift, self._handle_lift)
+        self._delivery.subscribe(messages.Pending, self._handle_pending)
+        self._delivery.subscribe(messages.Snapshot, self._handle_snapshot)
+        self._assignment.subscribe(self._send_to_new_homes)
         self._thread.start()
 
     def stop(self) -> None:
-        """End the exchange."""
+        """Stop reporting."""
         self._stopped.set()
         self._thread.join()
 
-    def give(
+    def record_service(
         self, service: ids.ServiceId, account: ids.AccountId, units: float
     ) -> None:
-        """Count service that streamed through this router, in cost units."""
+        """Record service delivered through this router, in cost units."""
         with self.lock:
             self.counters.record_service(service, account, units)
 
-    def tell(self, found: Iterable[messages.Lift | messages.Pending]) -> None:
-        """Tell the other homes of a service what the home on this router decided."""
+    def broadcast(self, found: Iterable[messages.Lift | messages.Pending]) -> None:
+        """Send decisions of the local home to the other homes of the service."""
         for message in found:
-            self._send(message.service, message)
+            self._send_to_homes(message.service, message)
 
     def report(self) -> dict[str, object]:
         """Return the service received by each account, for the operator."""
@@ -100,24 +100,24 @@
             }
         return {"received": totals}
 
-    def _teach(self, moves: tuple[homes.HomeChange, ...]) -> None:
-        """Tell the new homes of each service what this router knows.
+    def _send_to_new_homes(self, changes: tuple[homes.HomeChange, ...]) -> None:
+        """Send the counters to the new homes of each service.
 
-        Every router tells its own counters again; the first of the other homes also
-        sends all that it knows, so that a restart costs no fairness.
+        Every router reports its own counters again. The first of the other homes also
+        sends a snapshot of all counters, so that a restart does not affect fairness.
         """
-        for service, servers in self._assignment.maps().items():
+        for service, servers in self._assignment.homes_by_service().items():
             now = frozenset(servers.values())
             before = self._known_homes.get(service, frozenset())
-            moved = {
-                move.new
-                for move in moves
-                if move.server in servers and move.old is None
+            restarted = {
+                change.new
+                for change in changes
+                if change.server in servers and change.old is None
             }
             self._known_homes[service] = now
-            for home in (now - before | (moved & now)) - {self._identity.router}:
+            for home in (now - before | (restarted & now)) - {self._identity.router}:
                 with self.lock:
-                    self._exchange.forget(service)
+                    self._reporter.forget(service)
                 if self._identity.router == min(now - {home}, default=None):
                     self._delivery.send(home, self._make_snapshot())
 
@@ -131,7 +131,7 @@
             tuple(messages.Gone(*item) for item in found.gone.items()),
         )
 
-    def _take_snapshot(
+    def _handle_snapshot(
         self, router: ids.RouterId, _: ids.Incarnation, found: messages.Snapshot
     ) -> None:
         folded = {(item.service, item.account): item.units for item in found.totals}
@@ -141,19 +141,19 @@
                 sharing.Snapshot(found.counters, found.lifts, folded, gone)
             )
 
-    def _weigh(self, account: ids.AccountId) -> float:
+    def _find_weight(self, account: ids.AccountId) -> float:
         current = self._configuration.current()
         return current.weight(account) if current else configuration.DEFAULT_WEIGHT
 
     def _run(self) -> None:
-        while not self._stopped.wait(TICK_SECONDS):
+        while not self._stopped.wait(REPORT_CHECK_SECONDS):
             try:
-                self._tell_due()
+                self._report_due()
             except Exception as error:
-                # Without counters homes would drift apart unseen; log and go on.
+                # If reporting stopped, the homes' counters would silently diverge.
                 events.log(events.Event.TASK_FAILED, task="counters", error=repr(error))
 
-    def _tell_due(self) -> None:
+    def _report_due(self) -> None:
         now = time.monotonic()
         with self.lock:
             while self._folds and self._folds[0][0] <= now:
@@ -164,16 +164,16 @@
                 for item in self.counters.own_counters()
             }
             units = {key: item.units for key, item in own.items()}
-            due = self._exchange.find_due(units, None, now)
+            due = self._reporter.find_due(units, None, now)
         for key in due:
-            self._send(key[0], own[key])
+            self._send_to_homes(key[0], own[key])
 
-    def _send(self, service: ids.ServiceId, message: messages.Message) -> None:
+    def _send_to_homes(self, service: ids.ServiceId, message: messages.Message) -> None:
         for home in self._assignment.find_homes(service):
             if home != self._identity.router:
                 self._delivery.send(home, message)
 
-    def _take_counter(
+    def _handle_counter(
         self, router: ids.RouterId, _: ids.Incarnation, counter: messages.Counter
     ) -> None:
         with self.lock:
@@ -181,17 +181,17 @@
             if counter.incarnation > newest:
                 self._incarnations[counter.router] = counter.incarnation
                 if newest:
-                    due = time.monotonic() + FOLD_SECONDS
+                    due = time.monotonic() + FOLD_DELAY_SECONDS
                     self._folds.append((due, counter.router, newest))
             self.counters.merge(counter)
 
-    def _take_lift(
+    def _handle_lift(
         self, router: ids.RouterId, _: ids.Incarnation, lift: messages.Lift
     ) -> None:
         with self.lock:
             self.counters.merge_lift(lift)
 
-    def _take_pending(
+    def _handle_pending(
         self, router: ids.RouterId, _: ids.Incarnation, pending: messages.Pending
     ) -> None:
         if router == self._identity.router:
--- a/celeryspan/services/outliers.py
+++ b/celeryspan/services/outliers.py
@@ -1,7 +1,7 @@
-"""The kernel service ``outliers``: judges backend servers by the answers seen here.
+"""The kernel service ``outliers``: detects failing and slow backend servers.
 
-What a router finds it tells the server's home, which acts once half of the routers
-that use the server agree.
+Each router votes at the server's home on the basis of its own requests. The home acts
+once half of the routers that use the server agree.
 """
 
 from __future__ import annotations
@@ -17,93 +17,99 @@
 if TYPE_CHECKING:
     from celeryspan.services import assignment, delivery, slots
 
-TICK_SECONDS = 1.0
-"""How often ejections are looked at and standing votes are cast again, in seconds."""
+# Interval at which ejections are checked and votes in force are sent again.
+VOTE_INTERVAL_SECONDS = 1.0
 
-FAILED = frozenset({dispatch.Ending.FAILED, dispatch.Ending.TIMED_OUT})
-JUDGED = FAILED | {dispatch.Ending.ANSWERED}
+FAILED_ENDINGS = frozenset({dispatch.Ending.FAILED, dispatch.Ending.TIMED_OUT})
+COUNTED_ENDINGS = FAILED_ENDINGS | {dispatch.Ending.ANSWERED}
 
 
 @kernel.register("outliers", needs=("assignment", "delivery"))
 class OutliersService:
-    """Keeps one judgement for each service, and votes at the homes."""
+    """Keeps one outlier detector for each service, and votes at the homes."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._assignment: assignment.AssignmentService = box.find("assignment")
-        self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._judges: dict[ids.ServiceId, outliers.OutlierDetector] = {}
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._assignment: assignment.AssignmentService = container.find("assignment")
+        self._delivery: delivery.DeliveryService = container.find("delivery")
+        self._detectors: dict[ids.ServiceId, outliers.OutlierDetector] = {}
         self._ejected: set[ids.ServerId] = set()
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="outliers", daemon=True)
 
     def start(self) -> None:
-        """Begin to vote."""
-        self._assignment.subscribe(lambda _: self._follow_servers())
+        """Start voting."""
+        self._assignment.subscribe(lambda _: self._update_servers())
         self._thread.start()
 
     def stop(self) -> None:
-        """End voting; votes expire at the homes."""
+        """Stop voting; votes expire at the homes."""
         self._stopped.set()
         self._thread.join()
 
     def record(
         self, slot: slots.HeldSlot, ending: dispatch.Ending, cost: float
     ) -> None:
-        """Take in how the use of a slot ended."""
-        if ending not in JUDGED:
+        """Record how the use of a slot ended."""
+        if ending not in COUNTED_ENDINGS:
             return
         now = time.monotonic()
         service = slot.grant.service
         with self._lock:
-            judge = self._judges.setdefault(service, outliers.OutlierDetector())
-            changes = judge.record(
-                slot.server, ending in FAILED, now - slot.given_at, cost, now
+            detector = self._detectors.setdefault(service, outliers.OutlierDetector())
+            changes = detector.record(
+                slot.server, ending in FAILED_ENDINGS, now - slot.granted_at, cost, now
             )
         self._apply(changes)
 
-    def observe(
-        self, sums: dict[tuple[ids.ServiceId, ids.ServerId], slots.Sums]
+    def record_running(
+        self, totals: dict[tuple[ids.ServiceId, ids.ServerId], slots.RunningTotals]
     ) -> None:
-        """Take in seconds and units of what runs: a server may be too slow to end."""
+        """Record the speed of running requests; a slow server may never finish them."""
         now = time.monotonic()
         changes = []
         with self._lock:
-            for (service, server), (seconds, units) in sums.items():
-                judge = self._judges.setdefault(service, outliers.OutlierDetector())
-                changes += judge.record_running(server, seconds, units, now)
+            for (service, server), (seconds, units) in totals.items():
+                detector = self._detectors.setdefault(
+                    service, outliers.OutlierDetector()
+                )
+                changes += detector.record_running(server, seconds, units, now)
         self._apply(changes)
 
     def report(self) -> dict[str, object]:
         """Return the servers that this router votes against."""
         return {"ejected": sorted(self._ejected)}
 
-    def _follow_servers(self) -> None:
-        """Know all servers of each service, which the floor under them counts."""
+    def _update_servers(self) -> None:
+        """Update the servers of each service, whose number limits the ejections."""
         now = time.monotonic()
         with self._lock:
-            for service, homes in self._assignment.maps().items():
-                judge = self._judges.setdefault(service, outliers.OutlierDetector())
+            for service, homes in self._assignment.homes_by_service().items():
+                detector = self._detectors.setdefault(
+                    service, outliers.OutlierDetector()
+                )
                 for server in homes:
-                    judge.add(server, now)
-                for server in judge.servers() - homes.keys():
-                    judge.remove(server)
+                    detector.add(server, now)
+                for server in detector.servers() - homes.keys():
+                    detector.remove(server)
                     self._ejected.discard(server)
 
     def _run(self) -> None:
-        while not self._stopped.wait(TICK_SECONDS):
+        while not self._stopped.wait(VOTE_INTERVAL_SECONDS):
             now = time.monotonic()
             with self._lock:
-                judges = list(self._judges.values())
+                detectors = list(self._detectors.values())
                 changes = [
-                    each for judge in judges for each in judge.start_due_trials(now)
+                    each
+                    for detector in detectors
+                    for each in detector.start_due_trials(now)
                 ]
             self._apply(changes)
             for server in tuple(self._ejected):
                 self._vote(server, is_failing=True)
 
     def _apply(self, changes: list[outliers.Change]) -> None:
-        """Vote; a trial keeps the vote, since it leaves one slot anyway."""
+        """Vote; the vote stays during a trial, since it leaves one slot in any case."""
         for change in changes:
             if change.standing is outliers.Standing.EJECTED:
                 self._ejected.add(change.server)
