--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -219,7 +219,7 @@
     watches = watchers.WATCHERS / configuration.WATCH_SECONDS
     checks = max(0, size - watchers.WATCHERS) / watchers.check_seconds(size)
     lists = vmlist.POLLERS / vmlist.POLL_SECONDS
-    lease = pressures.CANDIDATES / leases.RENEW_SECONDS
+    lease = pressures.MAX_CANDIDATES / leases.RENEW_SECONDS
     return round(watches + checks + lists + lease, 2)
 
 
--- a/celeryspan/services/orders.py
+++ b/celeryspan/services/orders.py
@@ -101,7 +101,7 @@
         if self._limit is None:
             self._limit = loading.LoadLimiter(time.monotonic())
         managed = list_managed(current)
-        totals, leaving = self._pressures.sum_up(), self._departures.leaving()
+        totals, leaving = self._pressures.sum_reports(), self._departures.leaving()
         self._mover.work(current, managed, totals, leaving, time.monotonic())
         self._reconcile(current, managed)
 
--- a/celeryspan/services/pressures.py
+++ b/celeryspan/services/pressures.py
@@ -1,8 +1,8 @@
-"""The kernel service ``pressures``: what waits and what is free, over the fleet.
+"""The kernel service ``pressures``: waiting requests and free slots over the fleet.
 
-Each router tells the few that may hold the duty of placement what it sees; these add
-it up. At 1,300 routers and 19 models this is about 130 small frames a second at each
-of the three.
+Each router reports what it sees to the few routers that may hold the placement lease,
+which sum the reports. With 1,300 routers and 19 models each of the three receives about
+130 small frames a second.
 """
 
 from __future__ import annotations
@@ -20,29 +20,30 @@
     from celeryspan.services import configuration, delivery, membership
 
 DUTY = "orders"
-CANDIDATES = 2
+MAX_CANDIDATES = 2
 
+# Interval between reports. Placement acts on pressure that lasts for 20 s, which covers
+# two reports.
 REPORT_SECONDS = 10.0
-"""Placement looks at pressure that lasts for 20 s; two reports fall into that."""
 
+# Maximum age of a report; the sender of an older one has died or is unreachable.
 STALE_SECONDS = 25.0
-"""A report older than this is of a router that died or was cut off."""
 
 
 @kernel.register(
     "pressures", needs=("configuration", "delivery", "dispatch", "homes", "membership")
 )
 class PressuresService:
-    """Reports this router's view, and adds up those of all."""
+    """Reports the pressure seen by this router and sums the reports of all routers."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._configuration: configuration.ConfigurationService = box.find(
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._configuration: configuration.ConfigurationService = container.find(
             "configuration"
         )
-        self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._dispatch = box.find("dispatch")
-        self._homes = box.find("homes")
+        self._delivery: delivery.DeliveryService = container.find("delivery")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._dispatch = container.find("dispatch")
+        self._homes = container.find("homes")
         self._reports: dict[
             tuple[ids.RouterId, ids.ServiceId], tuple[float, messages.Pressure]
         ] = {}
@@ -51,8 +52,8 @@
         self._thread = threading.Thread(target=self._run, name="pressures", daemon=True)
 
     def start(self) -> None:
-        """Begin to report."""
-        self._delivery.subscribe(messages.Pressure, self._take)
+        """Start reporting."""
+        self._delivery.subscribe(messages.Pressure, self._handle_pressure)
         self._thread.start()
 
     def stop(self) -> None:
@@ -61,16 +62,16 @@
         self._thread.join()
 
     def candidates(self) -> tuple[ids.RouterId, ...]:
-        """Return the routers that may hold the duty."""
+        """Return the routers that may hold the lease."""
         present = [
             member.router
             for member in self._membership.alive()
             if member.state in membertable.PRESENT
         ]
-        return watchers.choose(DUTY, present, CANDIDATES)
+        return watchers.choose(DUTY, present, MAX_CANDIDATES)
 
-    def sum_up(self) -> dict[ids.ServiceId, modelplacement.Pressure]:
-        """Return the pressure on each service over the routers heard lately."""
+    def sum_reports(self) -> dict[ids.ServiceId, modelplacement.Pressure]:
+        """Return the pressure on each service, summed over recent reports."""
         oldest = time.monotonic() - STALE_SECONDS
         totals: dict[ids.ServiceId, list[int]] = collections.defaultdict(
             lambda: [0, 0, 0]
@@ -87,7 +88,7 @@
         return {name: modelplacement.Pressure(*total) for name, total in totals.items()}
 
     def measure(self) -> list[messages.Pressure]:
-        """Return what this router sees of each service whose engines it may order."""
+        """Return the pressure seen by this router on each service with a model."""
         current = self._configuration.current()
         if current is None:
             return []
@@ -96,10 +97,10 @@
             waiting[name.partition("/")[0]] += count
         busy: collections.Counter[str] = collections.Counter()
         slots: collections.Counter[str] = collections.Counter()
-        for name, found in self._homes.report()["servers"].items():
+        for name, usage in self._homes.report()["servers"].items():
             server = current.servers.get(name)
             if server is not None:
-                busy[server.service] += found["in_use"]
+                busy[server.service] += usage["in_use"]
                 slots[server.service] += server.slots
         return [
             messages.Pressure(name, waiting[name], busy[name], slots[name])
@@ -107,7 +108,7 @@
             if service.model and (waiting[name] or slots[name])
         ]
 
-    def _take(
+    def _handle_pressure(
         self, peer: ids.RouterId, _: ids.Incarnation, report: messages.Pressure
     ) -> None:
         with self._lock:
@@ -115,7 +116,7 @@
 
     def _run(self) -> None:
         while not self._stopped.wait(REPORT_SECONDS):
-            found = self.measure()
+            pressures = self.measure()
             for router in self.candidates():
-                for report in found:
+                for report in pressures:
                     self._delivery.send(router, report)
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -136,7 +136,7 @@
     service = box.find("pressures")
     monkeypatch.setattr(
         service,
-        "sum_up",
+        "sum_reports",
         lambda: {
             "planner-llm": modelplacement.Pressure(0, 0, 4),
             "lm-pool": modelplacement.Pressure(9, 0, 0),
