--- a/celeryspan/services/datagrams.py
+++ b/celeryspan/services/datagrams.py
@@ -82,7 +82,7 @@
         try:
             frame = codec.decode(proofs.unseal(self._keys, datagram))
         except errors.LinkError as error:
-            self._traffic.refuse()
+            self._traffic.count_refused_peer()
             events.log(events.Event.LINK_REFUSED, peer=str(source), error=str(error))
             return
         self._traffic.count("received", frame.messages, len(datagram))
--- a/celeryspan/services/delivery.py
+++ b/celeryspan/services/delivery.py
@@ -1,8 +1,8 @@
-"""The kernel service ``delivery``: messages to any router, this one included.
+"""The kernel service ``delivery``: sends messages to any router, including this one.
 
-A router is home of some backend servers and asks homes for slots at the same time.
-What it sends to itself takes the same way as what comes from a peer: through a queue
-and a task of its own, so that no handler runs inside another one's lock.
+A router is home of some backend servers and also requests slots from homes. Messages
+to itself go through a queue and a separate thread, as messages from a peer do, so that
+no handler runs while another one holds its lock.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 
 @kernel.register("delivery", needs=("identity", "links"))
 class DeliveryService:
-    """Sends to peers by their links and to this router by a queue."""
+    """Sends to peers over their links and to this router through a queue."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._links: links.LinksService = box.find("links")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._links: links.LinksService = container.find("links")
         self._handlers: dict[type, list[links.Handler]] = collections.defaultdict(list)
         self._queue: queue.SimpleQueue[messages.Message | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="delivery", daemon=True)
 
     def start(self) -> None:
-        """Begin to deliver."""
+        """Start delivering."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after what is in the queue."""
+        """Stop after delivering the queued messages."""
         self._queue.put(None)
         self._thread.join()
 
     def subscribe(self, kind: type, handler: links.Handler) -> None:
-        """Call a handler with each message of a kind, wherever it comes from."""
+        """Call a handler with each message of a kind, from peers or this router."""
         self._handlers[kind].append(handler)
         self._links.subscribe(kind, handler)
 
     def send(self, router: ids.RouterId, message: messages.Message) -> None:
-        """Send a message; never waits for the receiver."""
+        """Send a message without waiting for the receiver."""
         if router == self._identity.router:
             self._queue.put(message)
         else:
@@ -57,8 +57,8 @@
                 try:
                     handler(self._identity.router, self._identity.incarnation, message)
                 except Exception as error:
-                    # One malformed state must not end all scheduling of this router,
-                    # which would show as requests that wait for ever.
+                    # An error in one handler must not end the delivery thread: all
+                    # requests of this router would wait forever.
                     events.log(
                         events.Event.TASK_FAILED, task="delivery", error=repr(error)
                     )
--- a/celeryspan/services/links.py
+++ b/celeryspan/services/links.py
@@ -221,7 +221,7 @@
         return connection
 
     def _refuse(self, address: str, error: Exception) -> None:
-        self._traffic.refuse()
+        self._traffic.count_refused_peer()
         events.log(events.Event.LINK_REFUSED, peer=address, error=str(error))
 
     def _drive(self, connection: connections.Connection) -> None:
--- a/celeryspan/services/traffic.py
+++ b/celeryspan/services/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what a router sends to and hears from its peers, by kind of message."""
+"""Counts messages and bytes exchanged with peers, by kind of message."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Traffic:
-    """Messages and bytes by direction and kind, and refused peers."""
+    """Counters of messages and bytes by direction and kind, and of refused peers."""
 
     def __init__(self) -> None:
         self.refused = 0
@@ -20,10 +20,10 @@
     def count(
         self, direction: str, batch: tuple[messages.Message, ...], size: int
     ) -> None:
-        """Count one frame of ``size`` bytes, ``"sent"`` or ``"received"``.
+        """Count one frame of ``size`` bytes; direction is ``"sent"`` or ``"received"``.
 
-        The body of a configuration counts as what it is; the rest of the frame is
-        split evenly over its messages.
+        Message bodies, as of a configuration, count with their own size. The rest of
+        the frame is divided evenly among its messages.
         """
         bodies = [len(getattr(message, "body", b"")) for message in batch]
         share = max(0, size - sum(bodies)) / max(1, len(batch))
@@ -33,8 +33,8 @@
                 self._messages[key] += 1
                 self._bytes[key] += min(size, round(share + body))
 
-    def refuse(self) -> None:
-        """Count a peer that could not prove itself or sent something malformed."""
+    def count_refused_peer(self) -> None:
+        """Count a peer that failed authentication or sent a malformed frame."""
         with self._lock:
             self.refused += 1
 
@@ -44,8 +44,8 @@
             result: dict[str, object] = {"refused": self.refused}
             for direction in ("sent", "received"):
                 result[direction] = {
-                    kind: {"messages": number, "bytes": self._bytes[way, kind]}
-                    for (way, kind), number in sorted(self._messages.items())
-                    if way == direction
+                    kind: {"messages": count, "bytes": self._bytes[direction, kind]}
+                    for (key, kind), count in sorted(self._messages.items())
+                    if key == direction
                 }
             return result
