--- a/celeryspan/services/backends.py
+++ b/celeryspan/services/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: opened apart from sending, reused with care."""
+"""Connections to backend servers, opened separately from sending and pooled."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 if TYPE_CHECKING:
     from celeryspan import configuration
 
-# A TCP connection inside a data centre takes a few milliseconds; one lost packet
-# costs one second more. Two seconds allow for one loss.
-CONNECT_SECONDS = 2.0
+# A TCP connection inside a data centre takes a few milliseconds, and one second more
+# after a lost packet. Two seconds allow for one lost packet.
+CONNECT_TIMEOUT_SECONDS = 2.0
 
-# Time without a byte after which a connection counts as silent, in seconds. Engines
-# emit a token every few ten milliseconds and answer their first within a few seconds.
-PROGRESS_SECONDS = 5.0
+# Maximum time between two bytes of an answer. Engines emit a token every few tens of
+# milliseconds, and the first one within a few seconds.
+READ_TIMEOUT_SECONDS = 5.0
 
-# Idle connections kept for each server, and for how long. Servers commonly close
-# idle connections after 5 s or more; staying below avoids most lost races.
-IDLE_MAX = 16
-IDLE_SECONDS = 4.0
+# Idle connections kept for each server, and for how long. Servers commonly close idle
+# connections after 5 s or more. With a shorter time, few requests are sent on a
+# connection that the server is closing.
+MAX_IDLE_CONNECTIONS = 16
+MAX_IDLE_SECONDS = 4.0
 
-# Keep-alive probes of TCP find a connection that a device between the ends has
-# forgotten while a slow call is waited for: 5 s idle, then 3 probes 2 s apart.
+# TCP keep-alive detects connections that a device on the path has dropped during a slow
+# call: 5 s idle, then 3 probes 2 s apart.
 KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 5),
@@ -41,7 +42,7 @@
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
 )
 
-# What can go wrong on a link once it is open.
+# Errors of an open link.
 LINK_ERRORS = (
     OSError,
     http.client.HTTPException,
@@ -52,11 +53,11 @@
 
 
 @kernel.register("backends", needs=("configuration",))
-class Backends:
-    """Opens links to backend servers and keeps some of them open."""
+class BackendConnections:
+    """Opens links to backend servers and keeps idle ones for reuse."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._configuration = box.find("configuration")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._configuration = container.find("configuration")
         self._lock = threading.Lock()
         self._idle: dict[
             ids.ServerId, collections.deque[tuple[float, backend.Link]]
@@ -65,7 +66,7 @@
         self._reused = 0
 
     def start(self) -> None:
-        """Do nothing: links are opened when they are needed."""
+        """Do nothing: links are opened on demand."""
 
     def stop(self) -> None:
         """Close the idle links."""
@@ -76,25 +77,25 @@
                 link.close()
 
     def report(self) -> dict[str, object]:
-        """Return counts for the operator."""
+        """Return counts of opened, reused and idle links, for the operator."""
         with self._lock:
             idle = {server: len(links) for server, links in self._idle.items()}
         return {"opened": self._opened, "reused": self._reused, "idle": idle}
 
     def connect(self, server: ids.ServerId, *, fresh: bool) -> backend.Link:
-        """Return an open link; no byte of a request has been sent on it.
+        """Return an open link on which nothing of the request has been sent.
 
         Parameters
         ----------
         fresh : bool
-            Open a new connection. A kept one may be closed by the server at the
-            moment when it is used, and then nobody knows whether the request was
-            read; a request that may not be repeated does not take that chance.
+            Open a new connection. The server may close an idle one just as the
+            request is sent, and then it is unknown whether the request was read.
+            Requests that must not be repeated therefore need a new connection.
 
         Raises
         ------
         NotRun
-            If the server is not in the register or does not accept.
+            If the server is not in the register or the connection fails.
         """
         link = None if fresh else self._take_idle(server)
         if link is None:
@@ -104,15 +105,15 @@
             self._reused += 1
         return link
 
-    def keep(self, link: backend.Link) -> None:
-        """Keep a link whose last answer has been read to its end."""
+    def release(self, link: backend.Link) -> None:
+        """Keep a link for reuse; its last answer must have been read completely."""
         if not link.is_connected:
             link.close()
             return
         with self._lock:
             links = self._idle.setdefault(link.server, collections.deque())
             links.append((time.monotonic(), link))
-            surplus = links.popleft()[1] if len(links) > IDLE_MAX else None
+            surplus = links.popleft()[1] if len(links) > MAX_IDLE_CONNECTIONS else None
         if surplus is not None:
             surplus.close()
 
@@ -123,7 +124,7 @@
                 if not links:
                     return None
                 since, link = links.pop()
-            if time.monotonic() - since < IDLE_SECONDS and link.is_connected:
+            if time.monotonic() - since < MAX_IDLE_SECONDS and link.is_connected:
                 return link
             link.close()
 
@@ -132,7 +133,7 @@
         link = backend.Link(
             host,
             port,
-            timeout=CONNECT_SECONDS,
+            timeout=CONNECT_TIMEOUT_SECONDS,
             socket_options=list(KEEPALIVE_OPTIONS),
         )
         link.server = server
@@ -140,13 +141,13 @@
             link.connect()
         except LINK_ERRORS as error:
             raise errors.NotRun(
-                f"no connection: {error}",
+                f"connection failed: {error}",
                 code="server-unreachable",
                 status=503,
                 step="connect",
                 peer=server,
             ) from error
-        set_timeout(link, PROGRESS_SECONDS)
+        set_timeout(link, READ_TIMEOUT_SECONDS)
         return link
 
     def _find_address(self, server: ids.ServerId) -> ids.Address:
@@ -154,7 +155,7 @@
         entry = current.servers.get(server) if current else None
         if entry is None:
             raise errors.NotRun(
-                "not in the register",
+                f"server {server!r} is not in the register",
                 code="server-unknown",
                 status=503,
                 step="connect",
@@ -164,18 +165,18 @@
 
 
 def set_timeout(link: backend.Link, seconds: float) -> None:
-    """Set how long a link may be silent."""
+    """Set the read timeout of a link."""
     link.timeout = seconds
     if link.sock is not None:
         link.sock.settimeout(seconds)
 
 
 def abort(link: backend.Link) -> None:
-    """Wake the thread that reads from a link; it meets an end of file."""
+    """Shut a link down; a thread that reads from it gets an end of file."""
     sock = link.sock
     if sock is None:
         return
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # The connection has ended already.
+        pass  # The connection is already closed.
--- a/celeryspan/services/modelanswers.py
+++ b/celeryspan/services/modelanswers.py
@@ -10,7 +10,7 @@
 from celeryspan.services import backends, buffers, runs
 
 # Connections tried in a row, without a token between them, before a stream is given
-# up. With PROGRESS_SECONDS each, an engine has 20 s to go on.
+# up. With READ_TIMEOUT_SECONDS each, an engine has 20 s to go on.
 RESUMES_MAX = 4
 RESUME_PAUSE_SECONDS = 0.2
 
@@ -33,7 +33,7 @@
         self._lost = False
         self._pieces = self._follow()
         try:
-            adapter.send(run.link, call, run.name)
+            adapter.send(run.link, call, run.id)
             first = next(self._pieces)
         except backends.LINK_ERRORS as error:
             raise run.fail(error) from error
@@ -65,7 +65,7 @@
         """Stop the engine and give the slot back, unless the stream is whole."""
         self._closed = True
         if self._buffer is not None and not self._run.ended:
-            self._run.wake()
+            self._run.abort_read()
             self._buffer.close()
         if not self._run.ended:
             ending = dispatch.Ending.FAILED if self._lost else dispatch.Ending.CANCELLED
@@ -77,7 +77,7 @@
         while True:
             try:
                 for piece in self._adapter.receive(
-                    self._run.link, self._run.name, self._offset
+                    self._run.link, self._run.id, self._offset
                 ):
                     failures = 0
                     self._count(piece)
@@ -93,7 +93,7 @@
         if isinstance(piece, backend.Tokens):
             self._offset += len(piece.texts)
             self._run.slot.progress(len(piece.texts))
-            self._run.observation.take_tokens()
+            self._run.observation.record_tokens()
             return
         self._confirm()
         read = max(piece.prompt_tokens - piece.cached_tokens, 0)
@@ -120,13 +120,13 @@
                 self._run.link = self._run.pool.connect(server, fresh=True)
                 if self._is_unwanted():
                     continue
-                self._adapter.resume(self._run.link, self._run.name, self._offset)
+                self._adapter.resume(self._run.link, self._run.id, self._offset)
             except (errors.NotRun, *backends.LINK_ERRORS) as again:
                 error, failures = again, failures + 1
                 continue
             events.log(
                 events.Event.STREAM_RESUMED,
-                run=self._run.name,
+                run=self._run.id,
                 server=server,
                 offset=self._offset,
             )
@@ -148,7 +148,7 @@
         except errors.NotRun:
             return
         try:
-            self._adapter.cancel(link, self._run.name)
-            self._run.pool.keep(link)
+            self._adapter.cancel(link, self._run.id)
+            self._run.pool.release(link)
         except backends.LINK_ERRORS:
             link.close()
--- a/celeryspan/services/observations.py
+++ b/celeryspan/services/observations.py
@@ -1,4 +1,4 @@
-"""What is measured and logged of one request."""
+"""Metrics and log events of one request."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Observation:
-    """The times and the end of one request, from its acceptance on."""
+    """Records the latencies and the outcome of one request from its acceptance."""
 
-    def __init__(self, meters: metrics.Metrics, call: calls.Call) -> None:
-        self._meters = meters
+    def __init__(self, request_metrics: metrics.Metrics, call: calls.Call) -> None:
+        self._metrics = request_metrics
         self._call = call
         self._began = self._last = time.monotonic()
-        self._answering = False
+        self._has_first_token = False
         self._ended = False
         events.log(
             events.Event.REQUEST_ACCEPTED,
@@ -27,25 +27,25 @@
             account=call.account,
         )
 
-    def take_tokens(self) -> None:
-        """Note a part of a stream."""
+    def record_tokens(self) -> None:
+        """Record the arrival of a part of the stream."""
         now = time.monotonic()
-        pair = self._call.service, self._call.account
-        if self._answering:
-            self._meters.observe_token_gap(*pair, now - self._last)
+        labels = self._call.service, self._call.account
+        if self._has_first_token:
+            self._metrics.observe_token_gap(*labels, now - self._last)
         else:
-            self._answering = True
-            self._meters.observe_first_token(*pair, now - self._began)
+            self._has_first_token = True
+            self._metrics.observe_first_token(*labels, now - self._began)
         self._last = now
 
     def end(self, outcome: states.Outcome, cost: float) -> None:
-        """Note the end, once."""
+        """Record the outcome; later calls do nothing."""
         if self._ended:
             return
         self._ended = True
         seconds = time.monotonic() - self._began
-        pair = self._call.service, self._call.account
-        self._meters.observe_request(*pair, outcome, seconds, cost)
+        labels = self._call.service, self._call.account
+        self._metrics.observe_request(*labels, outcome, seconds, cost)
         events.log(
             events.Event.REQUEST_SETTLED,
             request=self._call.request,
@@ -55,7 +55,7 @@
         )
 
     def fail(self, error: errors.RequestError) -> None:
-        """Note that the request ends without an answer."""
+        """Record that the request ends without an answer."""
         if error.outcome is states.Outcome.NOT_RUN:
             events.log(
                 events.Event.REQUEST_REFUSED,
--- a/celeryspan/services/plainanswers.py
+++ b/celeryspan/services/plainanswers.py
@@ -36,7 +36,7 @@
         self._run = run
         self._watch(call)
         try:
-            adapter.send(run.link, call, run.name)
+            adapter.send(run.link, call, run.id)
             self.head, self._pieces = adapter.receive(run.link)
             run.progress.answer()
             self.first, self.whole = self._read_first()
@@ -44,7 +44,7 @@
             raise run.fail(error) from error
         run.progress.confirm()
         if self.whole:
-            run.finish(run.milliseconds)
+            run.finish(run.elapsed_milliseconds)
 
     def read(self) -> Iterator[bytes]:
         """Yield the body; raises AnswerLost if it is cut."""
@@ -57,11 +57,11 @@
             raise backend.AnswerLost(
                 repr(error), step="read answer", peer=self._run.slot.server
             ) from error
-        self._run.finish(self._run.milliseconds)
+        self._run.finish(self._run.elapsed_milliseconds)
 
     def close(self) -> None:
         """Give up what has not been read."""
-        self._run.abandon(dispatch.Ending.CANCELLED, self._run.milliseconds)
+        self._run.abandon(dispatch.Ending.CANCELLED, self._run.elapsed_milliseconds)
 
     def _watch(self, call: calls.Call) -> None:
         """Wait for the service as long as it may take.
@@ -73,7 +73,7 @@
         left = call.deadline - time.monotonic()
         backends.set_timeout(self._run.link, min(PLAIN_ANSWER_SECONDS, max(left, 0.1)))
         if not call.idempotent:
-            call.presence.watch(self._run.wake, must_end=True)
+            call.presence.watch(self._run.abort_read, must_end=True)
 
     def _read_first(self) -> tuple[bytes, bool]:
         collected = bytearray()
--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -29,7 +29,7 @@
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._dispatch: dispatch.Dispatcher = box.find("dispatch")
-        self._backends: backends.Backends = box.find("backends")
+        self._backends: backends.BackendConnections = box.find("backends")
         self._meters: metrics.Metrics = box.find("metrics")
         self.sleep = time.sleep
         self._retries = retries.RetryPolicy()
@@ -91,7 +91,7 @@
             run = runs.Run(self._backends, slot, progress, observation, name)
             try:
                 answer = self._attempt(call, run, begin)
-            except runs.Failure as failure:
+            except runs.RunFailure as failure:
                 excluded.add(slot.server)
                 self._pause(call, progress, failure, number)
                 continue
@@ -132,7 +132,7 @@
             run.open(call)
             run.send(call)
             return begin(run)
-        except runs.Failure:
+        except runs.RunFailure:
             raise
         except errors.RequestError as error:
             run.abandon(dispatch.Ending.CANCELLED)
@@ -150,7 +150,7 @@
         self,
         call: calls.Call,
         progress: outcomes.RequestProgress,
-        failure: runs.Failure,
+        failure: runs.RunFailure,
         number: int,
     ) -> None:
         """Wait before the next attempt, or raise if there is none."""
--- a/celeryspan/services/runs.py
+++ b/celeryspan/services/runs.py
@@ -10,8 +10,8 @@
 from celeryspan.services import backends, observations
 
 
-class Failure(errors.CeleryspanError):
-    """An attempt failed; ``sent`` says what is known about its bytes."""
+class RunFailure(errors.CeleryspanError):
+    """An attempt failed; ``sent`` says how much of the request was sent."""
 
     def __init__(self, cause: Exception, sent: retries.Sent, peer: str) -> None:
         text = getattr(cause, "message", "") or repr(cause)
@@ -20,38 +20,46 @@
 
 
 class Run:
-    """A slot, a link and a request on its way.
+    """One attempt of a request: its slot, its link and its progress.
 
     Attributes
     ----------
-    name : RequestId
+    id : RequestId
         The id under which the backend server knows this attempt.
     ended : bool
-        Whether the slot has been given back.
+        Whether the slot has been released.
     """
 
     def __init__(
         self,
-        pool: backends.Backends,
+        pool: backends.BackendConnections,
         slot: dispatch.Slot,
         progress: outcomes.RequestProgress,
         observation: observations.Observation,
-        name: ids.RequestId,
+        run_id: ids.RequestId,
     ) -> None:
         self.pool = pool
         self.slot = slot
         self.progress = progress
         self.observation = observation
-        self.name = name
+        self.id = run_id
         self.link: backend.Link | None = None
         self._started = time.monotonic()
         self.ended = False
 
     def open(self, call: calls.Call) -> None:
-        """Open a link; nothing is sent yet. Raises Failure."""
+        """Open a link without sending anything.
+
+        Raises
+        ------
+        RunFailure
+            If the connection fails.
+        errors.NotRun
+            If the caller no longer waits.
+        """
         if call.presence.gone or time.monotonic() >= call.deadline:
-            # A process that was stopped and goes on finds its clock moved: the caller
-            # has been given up long ago and must not be surprised by a late run.
+            # A process that resumes after a suspension finds its deadlines passed. The
+            # caller has given up long ago, so the request must not run late.
             self.progress.release()
             code = "deadline-passed" if not call.presence.gone else "caller-left"
             raise errors.NotRun(
@@ -66,32 +74,38 @@
         except errors.NotRun as error:
             self.end(dispatch.Ending.FAILED, 0.0)
             self.progress.release()
-            raise Failure(error, retries.Sent.NOTHING, self.slot.server) from error
+            raise RunFailure(error, retries.Sent.NOTHING, self.slot.server) from error
 
     def send(self, call: calls.Call) -> None:
-        """Take the last look, then let the first byte go. Raises Failure."""
+        """Check the slot and mark the request as sent, before the first byte.
+
+        Raises
+        ------
+        RunFailure
+            If the slot has expired.
+        """
         try:
             self.slot.use()
         except errors.NotRun as error:
             self.abandon(dispatch.Ending.CANCELLED)
             self.progress.release()
-            raise Failure(error, retries.Sent.NOTHING, self.slot.server) from error
+            raise RunFailure(error, retries.Sent.NOTHING, self.slot.server) from error
         self.progress.send()
         events.log(
             events.Event.REQUEST_SENT,
             request=call.request,
-            run=self.name,
+            run=self.id,
             server=self.slot.server,
         )
-        call.presence.watch(self.wake)
+        call.presence.watch(self.abort_read)
 
-    def wake(self) -> None:
-        """Wake the thread that reads the answer; its caller has left."""
+    def abort_read(self) -> None:
+        """Unblock the thread that reads the answer, after the caller has left."""
         if self.link is not None:
             backends.abort(self.link)
 
-    def fail(self, cause: Exception) -> Failure:
-        """Settle a failure after the first byte and return what to raise."""
+    def fail(self, cause: Exception) -> RunFailure:
+        """Record a failure after the first byte and return the exception to raise."""
         declined = isinstance(cause, backend.Declined)
         ending = dispatch.Ending.FAILED
         if declined:
@@ -104,22 +118,22 @@
                 ending = dispatch.Ending.TIMED_OUT
         self.abandon(ending)
         sent = retries.Sent.REFUSED if declined else retries.Sent.MAYBE
-        return Failure(cause, sent, self.slot.server)
+        return RunFailure(cause, sent, self.slot.server)
 
     def abandon(self, ending: dispatch.Ending, cost: float = 0.0) -> None:
-        """Close the link, whose answer nobody reads to its end, and end the slot."""
+        """Close the link, whose answer is read only in part, and release the slot."""
         if self.link is not None:
             self.link.close()
         self.end(ending, cost)
 
     def finish(self, cost: float) -> None:
-        """Keep the link, whose answer has been read to its end, and end the slot."""
+        """Keep the link, whose answer has been read fully, and release the slot."""
         if self.link is not None:
-            self.pool.keep(self.link)
+            self.pool.release(self.link)
         self.end(dispatch.Ending.ANSWERED, cost)
 
     def end(self, ending: dispatch.Ending, cost: float) -> None:
-        """Give the slot back, once."""
+        """Release the slot; later calls do nothing."""
         if self.ended:
             return
         self.ended = True
@@ -128,10 +142,10 @@
             self.observation.end(states.Outcome.RAN, cost)
 
     @property
-    def milliseconds(self) -> float:
-        """Time since the slot was given: the cost units of plain services.
+    def elapsed_milliseconds(self) -> float:
+        """Time since the slot was granted: the cost in units of plain services.
 
-        In seconds nearly all calls would cost less than one unit, which is the step
-        of the cost histogram and of many bounds.
+        In seconds, nearly all calls would cost less than one unit, which is the
+        resolution of the cost histogram and of many limits.
         """
         return 1000.0 * (time.monotonic() - self._started)
--- a/tests/services/test_requests.py
+++ b/tests/services/test_requests.py
@@ -69,7 +69,7 @@
         self.links.append(Link(server))
         return self.links[-1]
 
-    def keep(self, link: Link) -> None:
+    def release(self, link: Link) -> None:
         self.kept.append(link)
 
     def send(self, link: Link, call: calls.Call, run: ids.RequestId) -> None:
--- a/tests/services/test_streams.py
+++ b/tests/services/test_streams.py
@@ -82,7 +82,7 @@
 
     Without a limit on silence the planner waits for good.
     """
-    monkeypatch.setattr(backends, "PROGRESS_SECONDS", 0.2)
+    monkeypatch.setattr(backends, "READ_TIMEOUT_SECONDS", 0.2)
 
     def fall_silent(connection, received):
         if begins:
