--- a/celeryspan/services/moves.py
+++ b/celeryspan/services/moves.py
@@ -1,10 +1,11 @@
-"""Moves one model server at a time from one service to another.
-
-The server first gets no new work, by the same facts as one that is leaving; when its
-last request has ended its new service is written as a generation of the configuration,
-which every router puts in force; the order to load follows from that, and the server
-gets work again once it has loaded. No request is cut. If the holder dies in between,
-the server comes back by the VM list, with whichever service the configuration names.
+"""Moves model servers between services, one at a time.
+
+The server is first drained: it is marked as leaving and gets no new requests. When its
+last request has ended, its new service is published as a generation of the
+configuration, which all routers apply. The load order follows from that, and the server
+gets requests again once it has loaded. No request is interrupted. If the lease holder
+dies during a move, the VM list makes the server available again, in the service that
+the configuration names.
 """
 
 from __future__ import annotations
@@ -21,41 +22,41 @@
 if TYPE_CHECKING:
     from celeryspan.services import drains
 
-DRAIN_SECONDS = 600.0
-"""A server that has not finished its requests by then stays where it is."""
+# Time to drain a server, after which the move is cancelled.
+MAX_DRAIN_SECONDS = 600.0
 
-LOADED_SECONDS = 600.0
-"""A server that has not loaded by then is left to operators."""
+# Time to load the new model, after which the server is left to operators.
+MAX_LOAD_SECONDS = 600.0
 
 
-class Progress(msgspec.Struct):
-    """How far the move under way has come."""
+class MoveProgress(msgspec.Struct):
+    """Progress of the current move."""
 
     move: modelplacement.Move
-    began_at: float
-    written: bool = False
+    started_at: float
+    is_published: bool = False
 
 
-class Mover:
-    """Carries out what :class:`modelplacement.PlacementPlanner` decides."""
+class ServerMover:
+    """Carries out the moves chosen by :class:`modelplacement.PlacementPlanner`."""
 
     def __init__(
-        self, client: store.StoreClient, emptying: drains.Drains, author: str
+        self, store_client: store.StoreClient, server_drains: drains.Drains, author: str
     ) -> None:
-        self._client = client
-        self._drains = emptying
+        self._store_client = store_client
+        self._drains = server_drains
         self._author = author
-        self._placement = modelplacement.PlacementPlanner()
-        self._progress: Progress | None = None
+        self._planner = modelplacement.PlacementPlanner()
+        self._progress: MoveProgress | None = None
 
     def describe(self) -> str:
-        """Return the move under way as text for ``status``."""
+        """Return the current move as text for ``status``."""
         if self._progress is None:
             return ""
         move = self._progress.move
         return f"{move.server}: {move.source} -> {move.target}"
 
-    def work(
+    def step(
         self,
         current: configuration.Configuration,
         managed: dict[ids.ServerId, register.Server],
@@ -63,20 +64,20 @@
         leaving: frozenset[ids.ServerId],
         now: float,
     ) -> None:
-        """Begin a move if one is due, or bring the one under way a step further."""
+        """Start a move if one is due, or advance the current one."""
         if self._progress is None:
-            self._begin(managed, pressures, leaving, now)
+            self._start_move(managed, pressures, leaving, now)
             return
-        if not self._progress.written:
+        if not self._progress.is_published:
             self._drain(current, managed, now)
-        elif now - self._progress.began_at > LOADED_SECONDS:
+        elif now - self._progress.started_at > MAX_LOAD_SECONDS:
             self._progress = None
 
-    def holds_back(self, server: register.Server) -> bool:
-        """Whether a server is being moved and not yet in force where it goes.
+    def is_moving_away(self, server: register.Server) -> bool:
+        """Whether a server is being moved and its new service is not yet in force.
 
-        Between writing the move and hearing of it, the engine still matches the
-        service that it leaves; without this question it would get work again.
+        Until this router applies the published generation, the engine still matches
+        its old service; without this check it would get requests again.
         """
         move = self._progress.move if self._progress is not None else None
         return (
@@ -85,23 +86,27 @@
             and move.target != server.service
         )
 
-    def note_loaded(self, server: ids.ServerId) -> None:
-        """Note that a server has what its service wants; it gets work again."""
+    def record_loaded(self, server: ids.ServerId) -> None:
+        """Complete the move of a server that has loaded its new model."""
         progress = self._progress
-        if progress is None or not progress.written or progress.move.server != server:
+        if (
+            progress is None
+            or not progress.is_published
+            or progress.move.server != server
+        ):
             return
         self._progress = None
         events.log(
             events.Event.SERVER_MOVED, server=server, service=progress.move.target
         )
 
-    def give_up(self) -> None:
-        """End the move under way: the duty is lost."""
-        if self._progress is not None and not self._progress.written:
+    def cancel(self) -> None:
+        """Cancel the current move, and end the drain if the move is unpublished."""
+        if self._progress is not None and not self._progress.is_published:
             self._drains.finish(self._progress.move.server)
         self._progress = None
 
-    def _begin(
+    def _start_move(
         self,
         managed: dict[ids.ServerId, register.Server],
         pressures: dict[ids.ServiceId, modelplacement.Pressure],
@@ -115,11 +120,11 @@
             for name, server in managed.items()
             if name not in leaving
         }
-        move = self._placement.choose_move(pressures, placed, now)
+        move = self._planner.choose_move(pressures, placed, now)
         if move is None:
             return
-        self._placement.record_move(move.server, now)
-        self._progress = Progress(move, now)
+        self._planner.record_move(move.server, now)
+        self._progress = MoveProgress(move, now)
 
     def _drain(
         self,
@@ -129,23 +134,25 @@
     ) -> None:
         progress = self._progress
         server = managed.get(progress.move.server)
-        if server is None or now - progress.began_at > DRAIN_SECONDS:
-            self.give_up()
+        if server is None or now - progress.started_at > MAX_DRAIN_SECONDS:
+            self.cancel()
             return
         if self._drains.is_quiet(server, now):
-            self._write(current, progress)
+            self._publish_move(current, progress)
 
-    def _write(self, current: configuration.Configuration, progress: Progress) -> None:
-        """Write the new service as a generation; an operator's change wins."""
-        standing = publishing.read_standing(self._client)
-        if standing.generation != current.generation:
-            return  # A newer one is on its way here; look again with it in force.
+    def _publish_move(
+        self, current: configuration.Configuration, progress: MoveProgress
+    ) -> None:
+        """Publish the new service, unless an operator has published a change."""
+        published = publishing.read_standing(self._store_client)
+        if published.generation != current.generation:
+            return  # Retry once the newer generation is in force here.
         placements = dict(current.placements)
         placements[progress.move.server] = progress.move.target
         try:
             publishing.publish(
-                self._client,
-                standing,
+                self._store_client,
+                published,
                 current.register,
                 current.rules,
                 f"placement by {self._author}",
@@ -153,5 +160,5 @@
             )
         except publishing.NotPublished:
             return
-        progress.written = True
-        progress.began_at = time.monotonic()
+        progress.is_published = True
+        progress.started_at = time.monotonic()
--- a/celeryspan/services/orders.py
+++ b/celeryspan/services/orders.py
@@ -1,14 +1,14 @@
-"""The kernel service ``orders``: one router orders the model engines about.
+"""The kernel service ``orders``: sends load orders to model engines from one router.
 
-It brings each engine to the model, adapters, version and role that the configuration
-wants of its service, and moves servers between services.
+The router that holds the lease brings each engine to the model, adapters, version and
+role that the configuration names for its service, and moves servers between services.
 
-Failure guarded against: a holder is paused after it asked whether it still holds the
-duty, and sends its order when another router has taken over. An engine that checks
-fencing numbers refuses it. Towards one that ignores them three things stand: an order
-is sent only if the lease lasts longer than the greatest time of an order; a new holder
-waits that time before its first order; and it reads the state of each engine, again
-and again, so that an engine that an old order has changed is ordered back.
+A holder may be suspended after it has checked its lease, and send its order after
+another router has taken over. An engine that checks fencing numbers refuses the order.
+For engines that do not, three rules apply: an order is sent only if the lease outlasts
+the maximum duration of an order; a new holder waits for that duration before its first
+order; and it reads the state of every engine repeatedly, so that an engine changed by a
+late order is corrected.
 """
 
 from __future__ import annotations
@@ -33,76 +33,76 @@
 
 ROUND_SECONDS = 1.0
 
-STATES_PER_ROUND = 20
-"""Engines asked for their state in a round; 10,000 servers take 500 s."""
+# Engines whose state is read in one round; 10,000 servers take 500 s.
+MAX_STATES_PER_ROUND = 20
 
 
 @kernel.register(
     "orders", needs=("configuration", "identity", "pressures", "store", "vmlist")
 )
 class OrdersService:
-    """Holds the duty of orders, or waits for it if it should."""
-
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._store: store.StoreService = box.find("store")
-        self._pressures: pressures.PressuresService = box.find("pressures")
-        self._configuration: configuration_service.ConfigurationService = box.find(
-            "configuration"
+    """Holds the lease for orders, or waits for it if this router is a candidate."""
+
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._store: store.StoreService = container.find("store")
+        self._pressures: pressures.PressuresService = container.find("pressures")
+        self._configuration: configuration_service.ConfigurationService = (
+            container.find("configuration")
         )
         holder = f"{self._identity.router}/{self._identity.incarnation}"
-        self._keeper = leasing.LeaseKeeper(self._store, pressures.DUTY, holder)
+        self._lease_keeper = leasing.LeaseKeeper(self._store, pressures.DUTY, holder)
         self._client = orders.OrderClient()
-        self._departures: vmlist.VMListService = box.find("vmlist")
-        self._drains = drains.Drains(self._departures)
-        self._mover = moves.Mover(self._store.client, self._drains, holder)
-        self._limit: loading.LoadLimiter | None = None
+        self._vm_list: vmlist.VMListService = container.find("vmlist")
+        self._drains = drains.Drains(self._vm_list)
+        self._server_mover = moves.ServerMover(self._store.client, self._drains, holder)
+        self._load_limiter: loading.LoadLimiter | None = None
         self._queue: collections.deque[ids.ServerId] = collections.deque()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="orders", daemon=True)
 
     def start(self) -> None:
-        """Begin to hold or to wait."""
+        """Start acquiring the lease and sending orders."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop; the lease runs out by itself."""
+        """Stop; the lease expires on its own."""
         self._stopped.set()
         self._thread.join()
 
     def report(self) -> dict[str, object]:
-        """Return whether this router holds the duty, and the move under way."""
+        """Return whether this router holds the lease, and the current move."""
         return {
-            "holds": self._keeper.holds(),
-            "fence": self._keeper.lease.fence,
-            "moving": self._mover.describe(),
+            "holds": self._lease_keeper.holds(),
+            "fence": self._lease_keeper.lease.fence,
+            "moving": self._server_mover.describe(),
         }
 
     def _run(self) -> None:
         while not self._stopped.wait(ROUND_SECONDS):
             try:
-                self._work()
+                self._run_round()
             except Exception as error:
-                # An engine or a store that answers nonsense must not end all orders.
+                # An invalid answer of an engine or store must not end the thread.
                 events.log(events.Event.TASK_FAILED, task="orders", error=repr(error))
 
-    def _work(self) -> None:
-        """One round: keep the lease, and if it is held, do the duty."""
+    def _run_round(self) -> None:
+        """Renew the lease and, while it is held, send orders and move servers."""
         current = self._configuration.current()
         if current is None or not any(item.model for item in current.register.services):
             return
         candidates = self._pressures.candidates()
-        self._keeper.step(wanted=self._identity.router in candidates)
-        if not self._keeper.holds():
-            self._limit = None
-            self._mover.give_up()
+        self._lease_keeper.step(wanted=self._identity.router in candidates)
+        if not self._lease_keeper.holds():
+            self._load_limiter = None
+            self._server_mover.cancel()
             self._drains.give_up()
             return
-        if self._limit is None:
-            self._limit = loading.LoadLimiter(time.monotonic())
+        if self._load_limiter is None:
+            self._load_limiter = loading.LoadLimiter(time.monotonic())
         managed = list_managed(current)
-        totals, leaving = self._pressures.sum_reports(), self._departures.leaving()
-        self._mover.work(current, managed, totals, leaving, time.monotonic())
+        totals, leaving = self._pressures.sum_reports(), self._vm_list.leaving()
+        self._server_mover.step(current, managed, totals, leaving, time.monotonic())
         self._reconcile(current, managed)
 
     def _reconcile(
@@ -112,51 +112,57 @@
     ) -> None:
         if not self._queue:
             self._queue.extend(sorted(managed))
-        for _ in range(min(STATES_PER_ROUND, len(self._queue))):
+        for _ in range(min(MAX_STATES_PER_ROUND, len(self._queue))):
             server = managed.get(self._queue.popleft())
             if server is None:
                 continue
             try:
-                self._bring(server, current.services[ids.ServiceId(server.service)])
+                self._reconcile_server(
+                    server, current.services[ids.ServiceId(server.service)]
+                )
             except errors.CeleryspanError as error:
                 events.log(
                     events.Event.ORDER_REFUSED, server=server.name, reason=str(error)
                 )
 
-    def _bring(self, server: register.Server, service: register.Service) -> None:
-        """Read the state of one engine and send the order it needs, if any."""
+    def _reconcile_server(
+        self, server: register.Server, service: register.Service
+    ) -> None:
+        """Read the state of an engine and send an order if it needs one."""
         address = ids.Address.parse(server.address)
         state = self._client.read_state(address)
-        self._limit.update(server.name, loading=state.loading)
+        self._load_limiter.update(server.name, loading=state.loading)
         wanted = loading.DesiredState(
             service.model, service.adapters, service.version, service.role
         )
         kind = loading.choose_order(wanted, state)
         if kind is None:
             if not state.loading:
-                self._finish(server)
+                self._mark_ready(server)
             return
         now = time.monotonic()
-        if not self._keeper.lease.may_order(now, checks_fence=server.checks_fence):
+        if not self._lease_keeper.lease.may_order(
+            now, checks_fence=server.checks_fence
+        ):
             return
         if kind is loading.OrderKind.LOAD:
             if not self._drains.is_quiet(server, now):
                 return
-            if not self._limit.try_begin(server.name, now):
+            if not self._load_limiter.try_begin(server.name, now):
                 return
             self._drains.note_ordered(ids.ServerId(server.name))
-        fence = self._keeper.lease.fence
+        fence = self._lease_keeper.lease.fence
         self._client.send(address, kind, wanted, fence)
         events.log(
             events.Event.ORDER_SENT, server=server.name, kind=kind.value, fence=fence
         )
 
-    def _finish(self, server: register.Server) -> None:
-        """Let a server that has what its service wants have work."""
-        if self._mover.holds_back(server):
+    def _mark_ready(self, server: register.Server) -> None:
+        """Make a server that has loaded its model available for requests."""
+        if self._server_mover.is_moving_away(server):
             return
         self._drains.finish(ids.ServerId(server.name))
-        self._mover.note_loaded(ids.ServerId(server.name))
+        self._server_mover.record_loaded(ids.ServerId(server.name))
 
 
 def list_managed(
