--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -141,7 +141,7 @@
             {
                 "addresses": listed,
                 "keep_seconds": self.settings.address_seconds,
-                "tickets": self.claims.issue(count),
+                "tickets": self.claims.issue_tickets(count),
             }
         )
 
@@ -150,7 +150,7 @@
         call = chat.read_call(found)
         self._take_seat(found, call)
         found.watch_caller()
-        return self.claims.carry(
+        return self.claims.run_once(
             found,
             call,
             lambda: chat.write_answer(call, self.requests.call_model(call)),
@@ -161,7 +161,7 @@
         call = plaincalls.read_call(found)
         self._take_seat(found, call)
         found.watch_caller()
-        return self.claims.carry(
+        return self.claims.run_once(
             found,
             call,
             lambda: plaincalls.write_answer(call, self.requests.call_plain(call)),
--- a/celeryspan/services/claims.py
+++ b/celeryspan/services/claims.py
@@ -1,4 +1,4 @@
-"""The kernel service ``claims``: requests with a ticket or key run at most once."""
+"""The kernel service ``claims``: runs requests with a ticket or key at most once."""
 
 from __future__ import annotations
 
@@ -19,94 +19,96 @@
 
 TICKET_HEADER = "Celeryspan-Ticket"
 KEY_HEADER = "Idempotency-Key"
-KEY_CHARACTERS_MAX = 255
+MAX_KEY_CHARACTERS = 255
 
-# How often a thread that waits for the first of two equal requests looks whether its
-# caller has left, in seconds.
-LOOK_SECONDS = 0.5
+# Interval at which a request that waits for an earlier one with the same ticket or key
+# checks whether its caller has disconnected.
+CALLER_CHECK_SECONDS = 0.5
 
-# Told to a caller whose first request still runs, in seconds.
-RETRY_SECONDS = 1.0
+# Retry-After while the first request is still running.
+RETRY_AFTER_SECONDS = 1.0
 
 
 @kernel.register("claims", needs=("configuration", "membership", "store"))
 class Claims:
-    """Remembers named requests, and asks their owner where that is another router."""
-
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._settings: settings.Settings = box.settings
-        self._membership = box.find("membership")
-        self._store = claimstore.ClaimStore(box.find("store"))
-        self._forwarding = forwarding.Forwarding(self._settings, self._membership)
-        self._ledger = claims.Ledger()
+    """Records requests with a ticket or key, and forwards those of other routers."""
+
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._settings: settings.Settings = container.settings
+        self._membership = container.find("membership")
+        self._store = claimstore.ClaimStore(container.find("store"))
+        self._forwarder = forwarding.Forwarder(self._settings, self._membership)
+        self._records = claims.Ledger()
         self._changed = threading.Condition()
-        self._serials = itertools.count(1)
+        self._ticket_numbers = itertools.count(1)
 
     def start(self) -> None:
-        """Begin to delete claims that are too old."""
+        """Start deleting expired claims."""
         self._store.start()
 
     def stop(self) -> None:
-        """End deleting."""
+        """Stop deleting expired claims."""
         self._store.stop()
 
     def report(self) -> dict[str, object]:
-        """Return the state for the operator."""
+        """Return the number of records and the size of their answers."""
         return {
-            "records": len(self._ledger),
-            "answer_bytes": self._ledger.answer_bytes,
+            "records": len(self._records),
+            "answer_bytes": self._records.answer_bytes,
         }
 
     @property
     def owner(self) -> claims.Owner:
-        """The incarnation of this router."""
+        """The current incarnation of this router, as owner of claims."""
         router = ids.RouterId(self._settings.router)
         return claims.Owner(router, self._membership.incarnation)
 
-    def issue(self, count: int) -> list[str]:
-        """Return new tickets of this incarnation."""
+    def issue_tickets(self, count: int) -> list[str]:
+        """Return new tickets owned by this incarnation."""
         issued = int(time.monotonic())
         return [
             tickets.encode_ticket(
                 self._settings.fleet_keys,
-                tickets.Ticket(*self.owner, next(self._serials), issued),
+                tickets.Ticket(*self.owner, next(self._ticket_numbers), issued),
             )
             for _ in range(count)
         ]
 
-    def carry(
+    def run_once(
         self,
-        found: exchange.Exchange,
+        incoming: exchange.Exchange,
         call: calls.Call,
         run: Callable[[], object],
     ) -> object:
-        """Run a request, or answer it by what is known of an earlier one.
+        """Run a request, or answer it from the record of an earlier one.
 
         Parameters
         ----------
         run : callable
-            Carries the request and makes its answer the current one; returns the body.
+            Runs the request, sets the current response and returns its body.
 
         Raises
         ------
         errors.RequestError
-            With the outcome that is known.
+            With the known outcome.
         """
-        ticket = found.headers.get(TICKET_HEADER)
-        key = found.headers.get(KEY_HEADER)
+        ticket = incoming.headers.get(TICKET_HEADER)
+        key = incoming.headers.get(KEY_HEADER)
         if ticket and key:
             raise exchange.refuse(
-                "give a ticket or a key, not both", code="malformed", status=400
+                f"expected {TICKET_HEADER} or {KEY_HEADER}, not both",
+                code="malformed",
+                status=400,
             )
         if ticket:
-            return self._carry_ticket(found, call, ticket, run)
+            return self._run_ticket(incoming, call, ticket, run)
         if key:
-            return self._carry_key(found, call, key, run)
+            return self._run_key(incoming, call, key, run)
         return run()
 
-    def _carry_ticket(
+    def _run_ticket(
         self,
-        found: exchange.Exchange,
+        incoming: exchange.Exchange,
         call: calls.Call,
         text: str,
         run: Callable[[], object],
@@ -114,40 +116,42 @@
         ticket = tickets.decode_ticket(self._settings.fleet_keys, text)
         issuer = claims.Owner(ticket.router, ticket.incarnation)
         if issuer != self.owner:
-            return self._forwarding.pass_on(found, call, issuer)
+            return self._forwarder.forward(incoming, call, issuer)
         name = claims.RequestName(claims.NameKind.TICKET, call.account, text)
         if ticket.is_expired(time.monotonic()):
             raise errors.OutcomeUnknown(
-                "the ticket is too old; an earlier use of it is no longer known",
+                "the ticket has expired; any earlier use of it is no longer recorded",
                 code="ticket-expired",
                 status=409,
                 step="claim",
             )
-        return self._carry_named(found, call, name, run)
+        return self._run_named(incoming, call, name, run)
 
-    def _carry_key(
+    def _run_key(
         self,
-        found: exchange.Exchange,
+        incoming: exchange.Exchange,
         call: calls.Call,
         text: str,
         run: Callable[[], object],
     ) -> object:
-        if len(text) > KEY_CHARACTERS_MAX:
+        if len(text) > MAX_KEY_CHARACTERS:
             raise exchange.refuse(
-                f"expected a key of at most {KEY_CHARACTERS_MAX} characters",
+                f"expected {KEY_HEADER} of at most {MAX_KEY_CHARACTERS} characters",
                 code="malformed",
                 status=400,
             )
         name = claims.RequestName(claims.NameKind.KEY, call.account, text)
-        if found.forwarded and self._ledger.find(name) is None:
-            # Another router read a claim that names this one, whose record has gone:
-            # the request may have run long ago.
-            raise repeats.make_unknown("the record of this key is no longer kept")
-        return self._carry_named(found, call, name, run)
+        if incoming.forwarded and self._records.find(name) is None:
+            # Another router read a claim of this router, but the record has been
+            # removed: the request may have run long ago.
+            raise repeats.make_unknown(
+                "the record of this idempotency key is no longer kept"
+            )
+        return self._run_named(incoming, call, name, run)
 
-    def _carry_named(
+    def _run_named(
         self,
-        found: exchange.Exchange,
+        incoming: exchange.Exchange,
         call: calls.Call,
         name: claims.RequestName,
         run: Callable[[], object],
@@ -155,108 +159,121 @@
         digest = repeats.hash_call(call)
         while True:
             with self._changed:
-                verdict = self._ledger.begin(name, digest, time.monotonic())
-            if verdict is claims.Decision.RUN:
-                return self._run(found, call, name, run)
-            if verdict is claims.Decision.REPEAT:
-                return self._repeat(found, name)
-            if verdict is not claims.Decision.WAIT:
-                raise repeats.make_refusal(verdict)
-            self._wait(name, call)
-
-    def _wait(self, name: claims.RequestName, call: calls.Call) -> None:
-        """Wait while an equal request runs; raises OutcomeUnknown after a time."""
+                decision = self._records.begin(name, digest, time.monotonic())
+            if decision is claims.Decision.RUN:
+                return self._run(incoming, call, name, run)
+            if decision is claims.Decision.REPEAT:
+                return self._answer_repeat(incoming, name)
+            if decision is not claims.Decision.WAIT:
+                raise repeats.make_refusal(decision)
+            self._wait_for_first(name, call)
+
+    def _wait_for_first(self, name: claims.RequestName, call: calls.Call) -> None:
+        """Wait until the earlier request with the same name has ended.
+
+        Raises
+        ------
+        errors.OutcomeUnknown
+            If it is still running at the deadline or when the caller disconnects.
+        """
         while time.monotonic() < call.deadline and not call.presence.gone:
             with self._changed:
-                if self._changed.wait_for(lambda: not self._runs(name), LOOK_SECONDS):
+                if self._changed.wait_for(
+                    lambda: not self._is_running(name), CALLER_CHECK_SECONDS
+                ):
                     return
         raise errors.OutcomeUnknown(
-            "the first request with this name still runs",
+            "the first request with this ticket or key is still running",
             code="still-running",
             status=409,
-            retry_after=RETRY_SECONDS,
+            retry_after=RETRY_AFTER_SECONDS,
             step="claim",
         )
 
-    def _runs(self, name: claims.RequestName) -> bool:
-        record = self._ledger.find(name)
+    def _is_running(self, name: claims.RequestName) -> bool:
+        record = self._records.find(name)
         return record is not None and record.stage is claims.Stage.RUNNING
 
     def _run(
         self,
-        found: exchange.Exchange,
+        incoming: exchange.Exchange,
         call: calls.Call,
         name: claims.RequestName,
         run: Callable[[], object],
     ) -> object:
-        elsewhere = None
+        other_claim = None
         if name.kind is claims.NameKind.KEY:
-            elsewhere = self._claim(name)
-        if elsewhere is not None:
-            return self._answer_elsewhere(found, call, elsewhere)
+            other_claim = self._claim(name)
+        if other_claim is not None:
+            return self._answer_other_claim(incoming, call, other_claim)
         try:
             body = run()
         except errors.NotRun as error:
-            self._settle_not_run(found, name, error)
+            self._settle_not_run(incoming, name, error)
             raise
         except BaseException:
-            # Whatever happened, the request may have run: never again.
+            # The request may have run, so it must not run again.
             self._settle(name, states.Outcome.UNKNOWN)
             raise
         if isinstance(body, bytes):
             answer = repeats.copy_answer(body)
             self._settle(name, states.Outcome.RAN, answer)
-            self._publish(found, name, answer)
+            self._publish(incoming, name, answer)
             return body
         return answers.Stream(lambda _: self._collect(name, body), body.close)
 
     def _claim(self, name: claims.RequestName) -> claims.Claim | None:
-        """Claim a key; returns the claim of another router, if there is one."""
-        record = self._ledger.find(name)
+        """Claim a key and return the claim of another router, if one exists."""
+        record = self._records.find(name)
         if record.claim is not None:
             return None
         try:
             claim = self._store.claim(name, self.owner, record.digest)
         except errors.RequestError as error:
             if isinstance(error, errors.NotRun):
-                self._free(name)
+                self._release(name)
             else:
-                self._forget(name)
+                self._remove(name)
             raise
         if claim.owner == self.owner:
             record.claim = claim
             return None
-        self._forget(name)
+        self._remove(name)
         if claim.digest != record.digest:
             raise repeats.make_refusal(claims.Decision.MISMATCH)
         return claim
 
-    def _answer_elsewhere(
-        self, found: exchange.Exchange, call: calls.Call, claim: claims.Claim
+    def _answer_other_claim(
+        self, incoming: exchange.Exchange, call: calls.Call, claim: claims.Claim
     ) -> object:
         if claim.answer is not None:
-            return repeats.write_repeat(found.request, states.Outcome.RAN, claim.answer)
-        return self._forwarding.pass_on(found, call, claim.owner)
+            return repeats.write_repeat(
+                incoming.request, states.Outcome.RAN, claim.answer
+            )
+        return self._forwarder.forward(incoming, call, claim.owner)
 
     def _settle_not_run(
-        self, found: exchange.Exchange, name: claims.RequestName, error: errors.NotRun
+        self,
+        incoming: exchange.Exchange,
+        name: claims.RequestName,
+        error: errors.NotRun,
     ) -> None:
-        """Remember a refusal.
+        """Record that a request was not run.
 
-        A ticket is spent by it: a copy of the request that is still on its way
-        through another router must not run after its caller was told "not run". A
-        key may be tried again, since its caller has no other name for the request.
+        This uses up a ticket: a copy of the request that arrives later through another
+        router must not run after the caller received "not run". A key may be used
+        again, since its caller has no other name for the request.
         """
         if name.kind is claims.NameKind.KEY:
-            self._free(name)
+            self._release(name)
             return
-        body = answers.refuse(found.request, error)
+        body = answers.refuse(incoming.request, error)
         self._settle(name, states.Outcome.NOT_RUN, repeats.copy_answer(body))
 
     def _collect(
         self, name: claims.RequestName, body: answers.Stream
     ) -> Iterator[bytes]:
-        """Pass a stream on and keep it if it is whole and small enough."""
+        """Yield a stream, and record it if it is complete and small enough."""
         answer = repeats.copy_answer(b"")
         pieces: list[bytes] = []
         size = 0
@@ -273,12 +290,15 @@
             self._settle(name, states.Outcome.RAN, answer if kept else None)
 
     def _publish(
-        self, found: exchange.Exchange, name: claims.RequestName, answer: claims.Answer
+        self,
+        incoming: exchange.Exchange,
+        name: claims.RequestName,
+        answer: claims.Answer,
     ) -> None:
-        """Put the answer beside the claim, once the caller has it."""
-        claim = self._ledger.find(name).claim
+        """Store the answer with the claim, after it has been sent to the caller."""
+        claim = self._records.find(name).claim
         if claim is not None:
-            found.finally_do(lambda: self._store.publish(claim, answer))
+            incoming.finally_do(lambda: self._store.publish(claim, answer))
 
     def _settle(
         self,
@@ -287,23 +307,25 @@
         answer: claims.Answer | None = None,
     ) -> None:
         with self._changed:
-            self._ledger.settle(name, outcome, answer)
+            self._records.settle(name, outcome, answer)
             self._changed.notify_all()
 
-    def _free(self, name: claims.RequestName) -> None:
+    def _release(self, name: claims.RequestName) -> None:
         with self._changed:
-            self._ledger.release(name)
+            self._records.release(name)
             self._changed.notify_all()
 
-    def _forget(self, name: claims.RequestName) -> None:
+    def _remove(self, name: claims.RequestName) -> None:
         with self._changed:
-            self._ledger.remove(name)
+            self._records.remove(name)
             self._changed.notify_all()
 
-    def _repeat(self, found: exchange.Exchange, name: claims.RequestName) -> object:
-        record = self._ledger.find(name)
+    def _answer_repeat(
+        self, incoming: exchange.Exchange, name: claims.RequestName
+    ) -> object:
+        record = self._records.find(name)
         if record.answer is not None:
-            return repeats.write_repeat(found.request, record.outcome, record.answer)
+            return repeats.write_repeat(incoming.request, record.outcome, record.answer)
         if record.outcome is states.Outcome.RAN:
             raise repeats.make_not_kept()
-        raise repeats.make_unknown("what became of the first request is not known")
+        raise repeats.make_unknown("the outcome of the first request is unknown")
--- a/celeryspan/services/forwarding.py
+++ b/celeryspan/services/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a named request on to the router incarnation that owns its name."""
+"""Forwards requests with a ticket or key to the router incarnation that owns it."""
 
 from __future__ import annotations
 
@@ -18,48 +18,54 @@
     from celeryspan import settings
     from celeryspan.services import framing
 
-# How long the owner may take to begin its answer, in seconds. It may be queueing the
-# request, so this is longer than a silent connection would need; its caller then
-# hears "unknown" and may ask again with the same name.
-ANSWER_SECONDS = 30.0
+# Time for the owner to begin its answer: longer than a read timeout, since the request
+# may be queued there. After it the caller receives the outcome "unknown" and may repeat
+# the request with the same ticket or key.
+OWNER_ANSWER_SECONDS = 30.0
 
-NOT_PASSED_ON = frozenset({"host", "content-length", "expect"}) | plain.HOP_HEADERS
+NOT_FORWARDED_HEADERS = (
+    frozenset({"host", "content-length", "expect"}) | plain.HOP_HEADERS
+)
 
 
-class Forwarding:
-    """Passes requests on over the owner's caller address."""
+class Forwarder:
+    """Forwards requests to the caller address of their owner."""
 
     def __init__(self, settings: settings.Settings, membership: object) -> None:
         self._settings = settings
         self._membership = membership
 
-    def pass_on(
+    def forward(
         self,
-        found: exchange.Exchange,
+        incoming: exchange.Exchange,
         call: calls.Call,
         owner: claims.Owner,
     ) -> object:
-        """Let the owner answer, and make its answer the current one.
+        """Forward a request and use the owner's answer as the current response.
 
         Raises
         ------
         errors.OutcomeUnknown
-            If the owner is gone or does not answer: an earlier request may have run
-            there, and nobody else may run it.
+            If the owner has stopped or does not answer: an earlier request may have
+            run there, so no other router may run it.
         """
-        if found.forwarded:
-            raise make_gone(owner, "was asked twice over")
+        if incoming.forwarded:
+            raise make_owner_unreachable(
+                owner, "is not the router that it was forwarded to"
+            )
         link = self._connect(owner)
         call.presence.watch(lambda: backends.abort(link))
         events.log(
-            events.Event.REQUEST_FORWARDED, request=found.request, router=owner.router
+            events.Event.REQUEST_FORWARDED,
+            request=incoming.request,
+            router=owner.router,
         )
         try:
-            response = self._send(link, found, call)
+            response = self._send(link, incoming, call)
         except backends.LINK_ERRORS as error:
             link.close()
-            raise make_gone(owner, f"did not answer: {error!r}") from error
-        return _pass_back(link, response)
+            raise make_owner_unreachable(owner, f"did not answer: {error!r}") from error
+        return _return_response(link, response)
 
     def _connect(self, owner: claims.Owner) -> backend.Link:
         member = self._membership.find(owner.router)
@@ -68,42 +74,44 @@
             or member.incarnation != owner.incarnation
             or member.state is states.MemberState.DEAD
         ):
-            raise make_gone(owner, "is gone or was restarted")
-        # One that is suspected or leaving is asked: it still answers for its names.
+            raise make_owner_unreachable(owner, "has stopped or restarted")
+        # A suspected or leaving router still answers for the requests that it owns.
         return self._open(owner, member.caller_address)
 
     def _open(self, owner: claims.Owner, address: ids.Address) -> backend.Link:
         link = backend.Link(
             address.host,
             address.port,
-            timeout=backends.CONNECT_SECONDS,
+            timeout=backends.CONNECT_TIMEOUT_SECONDS,
             socket_options=list(backends.KEEPALIVE_OPTIONS),
         )
         try:
             link.connect()
         except backends.LINK_ERRORS as error:
-            raise make_gone(owner, f"does not accept: {error}") from error
+            raise make_owner_unreachable(
+                owner, f"cannot be connected to: {error}"
+            ) from error
         return link
 
     def _send(
-        self, link: backend.Link, found: exchange.Exchange, call: calls.Call
+        self, link: backend.Link, incoming: exchange.Exchange, call: calls.Call
     ) -> urllib3.BaseHTTPResponse:
-        left = call.deadline - time.monotonic()
-        backends.set_timeout(link, min(ANSWER_SECONDS, max(left, 0.1)))
+        remaining = call.deadline - time.monotonic()
+        backends.set_timeout(link, min(OWNER_ANSWER_SECONDS, max(remaining, 0.1)))
         proof = tickets.ForwardingProof(
-            ids.RouterId(self._settings.router), found.request
+            ids.RouterId(self._settings.router), incoming.request
         )
         headers = {
             name: value
-            for name, value in found.headers.items()
-            if name.lower() not in NOT_PASSED_ON
+            for name, value in incoming.headers.items()
+            if name.lower() not in NOT_FORWARDED_HEADERS
         }
         headers[exchange.FORWARDED_HEADER] = tickets.encode_forwarding_proof(
             self._settings.fleet_keys, proof
         )
         link.request(
             call.method,
-            found.target,
+            incoming.target,
             body=call.body or None,
             headers=headers,
             preload_content=False,
@@ -112,7 +120,7 @@
         return link.getresponse()
 
 
-def _pass_back(link: backend.Link, response: urllib3.BaseHTTPResponse) -> object:
+def _return_response(link: backend.Link, response: urllib3.BaseHTTPResponse) -> object:
     cherrypy.response.status = response.status
     headers = cherrypy.response.headers
     headers.pop("Content-Type", None)
@@ -121,16 +129,16 @@
             headers[name] = value
     cherrypy.response.stream = True
     return answers.Stream(
-        lambda stream: _read(response, stream, answers.find_request()), link.close
+        lambda stream: _read_body(response, stream, answers.find_request()), link.close
     )
 
 
-def _read(
+def _read_body(
     response: urllib3.BaseHTTPResponse,
     stream: answers.Stream,
     request: framing.Request,
 ) -> Iterator[bytes]:
-    """Yield the owner's answer; if it is cut, so is the caller's."""
+    """Yield the owner's answer; if it breaks off, cut the caller's answer as well."""
     try:
         yield from backend.read_body(response)
         stream.whole = True
@@ -138,8 +146,8 @@
         request.cut_short()
 
 
-def make_gone(owner: claims.Owner, reason: str) -> errors.OutcomeUnknown:
-    """Return the answer where only an unreachable owner knows the outcome."""
+def make_owner_unreachable(owner: claims.Owner, reason: str) -> errors.OutcomeUnknown:
+    """Return the error for a request whose owner cannot be asked for the outcome."""
     return errors.OutcomeUnknown(
         f"the router that owns this request {reason}; only it may run the request",
         code="owner-unreachable",
