--- a/tests/services/fleet.py
+++ b/tests/services/fleet.py
@@ -1,4 +1,4 @@
-"""Several routers' scheduling services in one process, on a fake network."""
+"""Scheduling services of several routers in one process, on a fake network."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 from celeryspan.wire import messages
 
-LOADED = (assignment, counters, delivery, dispatch_service, homes, outliers)
-REAL = ("assignment", "counters", "delivery", "dispatch", "homes", "outliers")
+REGISTERED_MODULES = (assignment, counters, delivery, dispatch_service, homes, outliers)
+REAL_SERVICES = ("assignment", "counters", "delivery", "dispatch", "homes", "outliers")
 KEY_HASH = "0" * 64
 
 
@@ -54,16 +54,16 @@
 
 
 class Network:
-    """Carries messages between routers; any router can be cut off."""
+    """Delivers messages between routers, except to and from partitioned ones."""
 
     def __init__(self) -> None:
         self.routers: dict[str, Router] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
 
-    def change(self, *order: str) -> None:
-        """Let all routers see who is alive, some before the others."""
-        rest = [name for name in self.routers if name not in order]
-        for name in (*order, *rest):
+    def notify_membership(self, *first: str) -> None:
+        """Notify all routers of the current membership, those named first."""
+        others = [name for name in self.routers if name not in first]
+        for name in (*first, *others):
             for handler in self.routers[name].membership_handlers:
                 handler()
             for router in self.routers.values():
@@ -71,7 +71,7 @@
 
 
 class Router:
-    """One router with real scheduling services and fakes around them."""
+    """One router with real scheduling services; all others are fakes."""
 
     def __init__(
         self, name: str, network: Network, config: object, incarnation: int = 1
@@ -90,16 +90,16 @@
             key: kernel.Registration(lambda _, fake=fake: fake, ())
             for key, fake in fakes.items()
         }
-        for key in REAL:
+        for key in REAL_SERVICES:
             registry[key] = kernel.REGISTRY[key]
         self.kernel = kernel.Kernel(None, registry)
 
     def start(self) -> None:
-        """Start the services."""
+        """Start the scheduling services."""
         self.kernel.start(["dispatch", "homes"])
 
     def acquire(self, account: str, request: str, seconds: float = 10.0):
-        """Wait for a slot."""
+        """Wait for a slot for a request of an account."""
         work = dispatch.Work(
             request=ids.RequestId(request),
             service=ids.ServiceId("gate-desk"),
@@ -109,7 +109,7 @@
         return self.kernel.find("dispatch").acquire(work)
 
     def receive(self, sender: Router, message: messages.Message) -> None:
-        """Take a message of a peer."""
+        """Queue a message of a peer for the handlers."""
         self.inbox.put((sender, message))
 
     def _read(self) -> None:
@@ -122,52 +122,55 @@
     def _send(
         self, peer: str, message: messages.Message, *, is_urgent: bool = False
     ) -> None:
-        if peer not in self._network.cut and self.name not in self._network.cut:
+        if (
+            peer not in self._network.partitioned
+            and self.name not in self._network.partitioned
+        ):
             self._network.routers[peer].receive(self, message)
 
     def _alive(self) -> list[messages.Member]:
-        here = ids.Address("127.0.0.1", 1)
+        address = ids.Address("127.0.0.1", 1)
         return [
             messages.Member(
                 ids.RouterId(name),
                 router.incarnation,
                 states.MemberState.ALIVE,
                 ids.DataCentreId("hala-a"),
-                here,
-                here,
+                address,
+                address,
                 ids.Generation(1),
                 0,
             )
             for name, router in self._network.routers.items()
-            if name not in self._network.cut
+            if name not in self._network.partitioned
         ]
 
     def _make_fakes(self, config: object) -> dict[str, object]:
-        nothing = {"start": lambda: None, "stop": lambda: None}
+        lifecycle = {"start": lambda: None, "stop": lambda: None}
         return {
             "identity": types.SimpleNamespace(
-                router=self.name, incarnation=self.incarnation, **nothing
+                router=self.name, incarnation=self.incarnation, **lifecycle
             ),
             "configuration": types.SimpleNamespace(
                 current=lambda: config,
                 subscribe=lambda handler: handler(config),
-                **nothing,
+                **lifecycle,
             ),
             "membership": types.SimpleNamespace(
                 alive=self._alive,
                 members=self._alive,
                 subscribe=self.membership_handlers.append,
-                **nothing,
+                **lifecycle,
             ),
             "links": types.SimpleNamespace(
                 send=self._send,
                 subscribe=lambda kind, handler: self._handlers[kind].append(handler),
-                **nothing,
+                **lifecycle,
             ),
             "metrics": metrics.Metrics(),
             "vmlist": types.SimpleNamespace(
                 leaving=lambda: frozenset(self._leaving),
                 mark_leaving=self._leaving.add,
-                **nothing,
+                **lifecycle,
             ),
         }
--- a/tests/services/test_scheduling.py
+++ b/tests/services/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Dispatch and homes of several routers, with real threads and a fake network."""
+"""Tests dispatch and homes of several routers on a fake network, with real threads."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def make_fleet():
-    """Start routers; stop them after the test."""
+    """Return a function that starts routers, and stop them after the test."""
     started: list[fleet.Router] = []
 
     def make(routers: int, slots: dict[str, int], accounts: list[str]):
@@ -24,7 +24,7 @@
         found = [fleet.Router(f"r{i}", network, config) for i in range(routers)]
         for router in found:
             router.start()
-        network.change()
+        network.notify_membership()
         started.extend(found)
         return network, found
 
@@ -33,7 +33,7 @@
         router.kernel.stop()
 
 
-def test_every_slot_is_reached_from_one_router(make_fleet) -> None:
+def test_one_router_can_use_every_slot(make_fleet) -> None:
     _, routers = make_fleet(3, {"s1": 2, "s2": 2, "s3": 2}, ["a"])
     held = [routers[0].acquire("a", f"q{i}") for i in range(6)]
     assert collections.Counter(slot.server for slot in held) == {
@@ -43,14 +43,13 @@
     }
 
 
-def test_a_flood_at_one_router_does_not_stand_before_another_account(
+def test_flood_at_one_router_does_not_delay_another_account(
     make_fleet,
 ) -> None:
-    """A gate desk must not wait behind an airline.
+    """Guards against fairness within each router only.
 
-    The airline floods one router with requests, then the gate desk asks at another.
-    It must get the next slot that falls free. Cause of the old fault: each router was
-    fair on its own only.
+    One account floods a router, then another account sends a request to a second
+    router. The second account must get the next free slot.
     """
     _, routers = make_fleet(3, {"s1": 2}, ["airline", "desk"])
     first = [routers[0].acquire("airline", f"first{i}") for i in range(2)]
@@ -76,37 +75,37 @@
 
 
 def is_waiting(home: fleet.Router, account: str) -> bool:
-    """Return whether a home knows that an account waits."""
+    """Return whether a home knows that requests of an account wait."""
     return ("gate-desk", account) in home.kernel.find("counters").backlogged
 
 
 def wait_for(condition) -> None:
-    """Wait until something is so; the suite's timeout ends a wait in vain."""
+    """Wait until a condition holds; the timeout of the test suite limits the wait."""
     while not condition():
         time.sleep(0.01)
 
 
-def test_a_home_that_dies_frees_its_servers_and_keeps_what_runs(make_fleet) -> None:
-    """A router that was home dies while requests run.
+def test_dead_home_is_replaced_and_running_requests_still_count(make_fleet) -> None:
+    """Guards against overloaded and unused servers when a home dies.
 
-    Callers at the other routers must go on to be served on all servers, and the
-    requests in progress still count at the new home: no server gets more than its
-    slots. The asker learns of the death first, so that what it tells the new home
-    comes before that one knows of its duty.
+    The other routers must still be able to use all servers, and requests in progress
+    must count at the new home, so that no server gets more requests than it has slots.
+    The requesting router detects the death first, so its report of held slots reaches
+    the new home before that one takes over.
     """
     network, routers = make_fleet(3, {f"s{i}": 2 for i in range(6)}, ["a"])
-    victim = find_home(routers, "s0")
-    asker = next(router for router in routers if router is not victim)
-    held = [asker.acquire("a", f"q{i}") for i in range(6)]
-    network.cut.add(victim.name)
-    network.change(asker.name)
-    held += [asker.acquire("a", f"p{i}") for i in range(6)]
+    dead_home = find_home(routers, "s0")
+    requester = next(router for router in routers if router is not dead_home)
+    held = [requester.acquire("a", f"q{i}") for i in range(6)]
+    network.partitioned.add(dead_home.name)
+    network.notify_membership(requester.name)
+    held += [requester.acquire("a", f"p{i}") for i in range(6)]
     assert set(collections.Counter(slot.server for slot in held).values()) == {2}
     with pytest.raises(errors.NotRun):
-        asker.acquire("a", "more", seconds=0.3)
+        requester.acquire("a", "more", seconds=0.3)
 
 
-def test_a_request_given_up_is_answered_with_when_to_come_back(make_fleet) -> None:
+def test_expired_request_is_refused_with_a_retry_time(make_fleet) -> None:
     _, routers = make_fleet(1, {"s1": 1}, ["a"])
     routers[0].acquire("a", "first")
     with pytest.raises(errors.NotRun) as caught:
@@ -114,39 +113,39 @@
     assert caught.value.retry_after
 
 
-def test_a_home_that_restarts_at_once_learns_who_received_what(make_fleet) -> None:
-    """A home restarts faster than it is missed, just after another router died.
+def test_restarted_home_learns_the_service_received(make_fleet) -> None:
+    """Guards against a restarted home that treats a well-served account as new.
 
-    An account that has received much must not be served first again. What it received
-    was counted by the dead router, so that only a third one can tell.
+    The home restarts before it is declared dead, and just after the router that counted
+    the service has died, so only a third router can report the counter.
     """
     network, routers = make_fleet(3, {f"s{i}": 2 for i in range(6)}, ["a"])
-    asker, third, home = routers
-    asker.acquire("a", "q").end(dispatch.Ending.ANSWERED, 500.0)
-    wait_for(lambda: read_received(third) == 500.0)
-    network.cut.add(asker.name)
-    network.change()
+    requester, observer, home = routers
+    requester.acquire("a", "q").end(dispatch.Ending.ANSWERED, 500.0)
+    wait_for(lambda: read_received(observer) == 500.0)
+    network.partitioned.add(requester.name)
+    network.notify_membership()
     config = home.kernel.find("configuration").current()
     home.kernel.stop()
-    again = fleet.Router(home.name, network, config, incarnation=2)
-    again.start()
-    network.change()
-    wait_for(lambda: read_received(again) == 500.0)
-    again.kernel.stop()
+    restarted = fleet.Router(home.name, network, config, incarnation=2)
+    restarted.start()
+    network.notify_membership()
+    wait_for(lambda: read_received(restarted) == 500.0)
+    restarted.kernel.stop()
 
 
 def read_received(router: fleet.Router) -> float:
-    """Return what account a has received, as a router knows it."""
+    """Return the service received by account ``a``, as known to a router."""
     return router.kernel.find("counters").counters.received("gate-desk", "a")
 
 
 @pytest.mark.parametrize("slots", [{"s1": 1, "s2": 1}, {"s1": 1}])
-def test_a_repeat_that_excludes_a_server_is_served(make_fleet, slots) -> None:
-    """A repeat must not go to the server that has just failed it, and not starve.
+def test_retry_that_excludes_a_server_is_served(make_fleet, slots) -> None:
+    """Guards against retries that starve because of their excluded server.
 
-    The home of both servers offered the failed one again and again: each time the
-    router gave the grant back, and the home, seeing it free, offered it anew. Where
-    only the failed server exists, it is better than none.
+    The home granted the excluded server, the router returned the grant, and the home
+    granted the same free server again. If no other server exists, the retry must use
+    the excluded one.
     """
     _, routers = make_fleet(2, slots, ["a"])
     dispatcher = routers[0].kernel.find("dispatch")
@@ -162,26 +161,27 @@
         slot.end(dispatch.Ending.ANSWERED, 1.0)
 
 
-def test_a_server_that_fails_everyone_gets_one_request_at_a_time(make_fleet) -> None:
-    """A server that refuses at once is free at once, and draws all requests.
+def test_failing_server_gets_one_request_at_a_time(make_fleet) -> None:
+    """Guards against a failing server that attracts most requests.
 
-    Callers see most of their calls fail though the other servers work.
+    A server that fails requests immediately is always free, so it is granted again and
+    most calls fail although the other servers work.
     """
     _, routers = make_fleet(2, {"s1": 4, "s2": 4, "s3": 4, "s4": 4}, ["a"])
     number = itertools.count()
 
-    def ask(router: fleet.Router) -> str:
+    def send_request(router: fleet.Router) -> str:
         slot = router.acquire("a", f"q{next(number)}")
-        bad = slot.server == "s1"
-        ending = dispatch.Ending.FAILED if bad else dispatch.Ending.ANSWERED
-        slot.end(ending, 0.0 if bad else 1.0)
+        failed = slot.server == "s1"
+        ending = dispatch.Ending.FAILED if failed else dispatch.Ending.ANSWERED
+        slot.end(ending, 0.0 if failed else 1.0)
         return slot.server
 
     home = find_home(routers, "s1").kernel.find("homes")
     wait_for(
         lambda: (
-            ask(routers[0])
-            and ask(routers[1])
+            send_request(routers[0])
+            and send_request(routers[1])
             and home.report()["servers"]["s1"]["window"] == 1
         )
     )
