--- a/tests/services/support.py
+++ b/tests/services/support.py
@@ -1,4 +1,4 @@
-"""A small kernel for tests of single services."""
+"""Starts a kernel with selected services, for tests of single services."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_settings(router: str, **fields: object) -> settings.Settings:
-    """Return settings of a router on free ports."""
+    """Return settings of a router that listens on free ports."""
     values = {
         "router": router,
         "data_centre": "hala-a",
@@ -24,21 +24,23 @@
 
 
 def start_kernel(names: list[str], router: str, **fields: object) -> kernel.Kernel:
-    """Start services under a kernel of their own."""
+    """Start services, and those they need, in a new kernel."""
     daemon.import_services()
-    box = kernel.Kernel(make_settings(router, **fields))
-    box.start(names)
-    return box
+    container = kernel.Kernel(make_settings(router, **fields))
+    container.start(names)
+    return container
 
 
-def peer_address(box: kernel.Kernel) -> ids.Address:
-    """Return where the router of a kernel listens for peers."""
-    return ids.Address.parse(box.settings.peer_address)
+def peer_address(container: kernel.Kernel) -> ids.Address:
+    """Return the peer address of the router of a kernel."""
+    return ids.Address.parse(container.settings.peer_address)
 
 
 def wait_until(condition: Callable[[], bool], seconds: float = 10.0) -> None:
-    """Wait until a condition holds; fail if it never does."""
+    """Wait until a condition holds; fail after the given time."""
     deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < deadline, "the condition never held"
+        assert time.monotonic() < deadline, (
+            f"the condition did not hold within {seconds} s"
+        )
         time.sleep(0.005)
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -1,4 +1,4 @@
-"""Model engines are ordered about by one router at a time."""
+"""Tests that one router at a time sends load orders to model engines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from standins import engine, store
 from tests.services import support
 
-FAST = {
+SHORT_LEASE_SECONDS = {
     "LEASE_SECONDS": 1.0,
     "RENEW_SECONDS": 0.2,
     "CLOCK_MARGIN_SECONDS": 0.2,
@@ -21,7 +21,7 @@
 
 
 class Fleet:
-    """Routers, two model engines and a stand-in of the object API."""
+    """Routers, two model engines and a stand-in for the object API."""
 
     def __init__(self) -> None:
         self.store = store.Store()
@@ -29,10 +29,10 @@
             engine.Engine(model="old", checks_fence=True),
             engine.Engine(model="old"),
         ]
-        for standin in (self.store, *self.engines):
-            standin.start()
+        for stand_in in (self.store, *self.engines):
+            stand_in.start()
         self.client = store_adapter.StoreClient(str(self.store.address))
-        self.boxes: list[kernel.Kernel] = []
+        self.routers: list[kernel.Kernel] = []
 
     def publish(self, **models: str) -> None:
         servers = [
@@ -40,17 +40,17 @@
                 "name": f"server-{number}",
                 "service": "planner-llm",
                 "data_centre": "hala-a",
-                "address": str(standin.address),
-                "checks_fence": standin.checks_fence,
+                "address": str(stand_in.address),
+                "checks_fence": stand_in.checks_fence,
                 "slots": 2,
             }
-            for number, standin in enumerate(self.engines)
+            for number, stand_in in enumerate(self.engines)
         ]
         services = [
             {"name": name.replace("_", "-"), "kind": "model", "model": model}
             for name, model in models.items()
         ]
-        made = register.Register.model_validate(
+        created = register.Register.model_validate(
             {
                 "firm": "test",
                 "data_centres": [{"name": "hala-a", "region": "here"}],
@@ -61,30 +61,30 @@
             }
         )
         standing = publishing.read_standing(self.client)
-        publishing.publish(self.client, standing, made, rules.Rules(), "test")
+        publishing.publish(self.client, standing, created, rules.Rules(), "test")
 
     def start(self, name: str) -> kernel.Kernel:
-        peers = tuple(box.settings.peer_address for box in self.boxes[:1])
-        box = support.start_kernel(
+        peers = tuple(router.settings.peer_address for router in self.routers[:1])
+        router = support.start_kernel(
             ["orders"], name, peers=peers, store_address=str(self.store.address)
         )
-        self.boxes.append(box)
-        return box
+        self.routers.append(router)
+        return router
 
     def models(self) -> list[str]:
         client = orders.OrderClient()
-        return [client.read_state(standin.address).model for standin in self.engines]
+        return [client.read_state(stand_in.address).model for stand_in in self.engines]
 
     def stop(self) -> None:
-        for box in self.boxes:
-            box.stop()
-        for standin in (self.store, *self.engines):
-            standin.stop()
+        for router in self.routers:
+            router.stop()
+        for stand_in in (self.store, *self.engines):
+            stand_in.stop()
 
 
 @pytest.fixture
 def fleet(monkeypatch):
-    for name, seconds in FAST.items():
+    for name, seconds in SHORT_LEASE_SECONDS.items():
         monkeypatch.setattr(leases, name, seconds)
     monkeypatch.setattr(loading, "LOAD_INTERVAL_SECONDS", 0.1)
     monkeypatch.setattr(orders_service, "ROUND_SECONDS", 0.05)
@@ -92,9 +92,9 @@
     monkeypatch.setattr(pressures, "REPORT_SECONDS", 0.2)
     for name in ("MIN_PRESSURE_SECONDS", "MOVE_INTERVAL_SECONDS"):
         monkeypatch.setattr(modelplacement, name, 0.5)
-    made = Fleet()
-    yield made
-    made.stop()
+    created = Fleet()
+    yield created
+    created.stop()
 
 
 def test_engines_are_brought_to_the_model_of_their_service(fleet) -> None:
@@ -104,36 +104,38 @@
 
 
 def test_next_router_takes_over_with_a_higher_fence(fleet) -> None:
-    """A router with the duty is replaced; model changes go on without an operator."""
+    """Model changes must go on without an operator when the lease holder stops."""
     fleet.publish(planner_llm="new")
     fleet.start("a")
     fleet.start("b")
     support.wait_until(lambda: fleet.models() == ["new", "new"], 20.0)
-    holders = [box for box in fleet.boxes if box.find("orders").report()["holds"]]
+    holders = [
+        router for router in fleet.routers if router.find("orders").report()["holds"]
+    ]
     assert len(holders) == 1
     holders[0].stop()
-    fleet.boxes.remove(holders[0])
+    fleet.routers.remove(holders[0])
     fleet.publish(planner_llm="newer")
     support.wait_until(lambda: fleet.models() == ["newer", "newer"], 20.0)
-    assert fleet.boxes[0].find("orders").report()["fence"] == 2
+    assert fleet.routers[0].find("orders").report()["fence"] == 2
 
 
-def test_nobody_orders_while_the_store_is_down(fleet) -> None:
-    """In a long outage no lease can be renewed; two routers must not both order."""
+def test_no_router_orders_while_the_store_is_down(fleet) -> None:
+    """A lease cannot be renewed during an outage, so its holder must stop ordering."""
     fleet.publish(planner_llm="new")
-    box = fleet.start("a")
+    router = fleet.start("a")
     support.wait_until(lambda: fleet.models() == ["new", "new"], 20.0)
     fleet.store.control(down=True)
-    support.wait_until(lambda: not box.find("orders").report()["holds"])
+    support.wait_until(lambda: not router.find("orders").report()["holds"])
     fleet.store.control(down=False)
-    support.wait_until(lambda: box.find("orders").report()["holds"], 20.0)
+    support.wait_until(lambda: router.find("orders").report()["holds"], 20.0)
 
 
-def test_server_moves_to_the_service_whose_work_waits(fleet, monkeypatch) -> None:
-    """Requests for a second model wait for minutes while the first one is idle."""
+def test_server_moves_to_the_service_with_waiting_requests(fleet, monkeypatch) -> None:
+    """Guards against requests that wait for one model while servers of another idle."""
     fleet.publish(planner_llm="old", lm_pool="other")
-    box = fleet.start("a")
-    service = box.find("pressures")
+    router = fleet.start("a")
+    service = router.find("pressures")
     monkeypatch.setattr(
         service,
         "sum_reports",
@@ -143,17 +145,17 @@
         },
     )
     support.wait_until(lambda: "other" in fleet.models(), 20.0)
-    found = box.find("configuration")
+    found = router.find("configuration")
     support.wait_until(lambda: bool(found.current().placements))
-    support.wait_until(lambda: not box.find("orders").report()["moving"])
-    assert not box.find("vmlist").leaving()
+    support.wait_until(lambda: not router.find("orders").report()["moving"])
+    assert not router.find("vmlist").leaving()
     assert sorted(fleet.models()) == ["old", "other"]
 
 
 def test_busy_engine_finishes_its_answer_before_it_loads(fleet) -> None:
-    """An operator changes the model's version; a stream in progress ends in the middle.
+    """Guards against truncated streams when a model is replaced.
 
-    The engine was ordered to load while it generated.
+    An engine that is ordered to load while it generates cuts its answers.
     """
     busy = fleet.engines[0]
     busy.batch.token_seconds = 0.05
@@ -162,11 +164,11 @@
         "POST", f"http://{busy.address}/generate", json=body, preload_content=False
     )
     fleet.publish(planner_llm="new")
-    box = fleet.start("a")
-    support.wait_until(lambda: "server-0" in box.find("vmlist").leaving(), 20.0)
+    router = fleet.start("a")
+    support.wait_until(lambda: "server-0" in router.find("vmlist").leaving(), 20.0)
     assert b'"done": true' in answer.read()
     support.wait_until(lambda: fleet.models() == ["new", "new"], 20.0)
-    support.wait_until(lambda: not box.find("vmlist").leaving())
+    support.wait_until(lambda: not router.find("vmlist").leaving())
     runs = urllib3.request("GET", f"http://{busy.address}/_journal").json()
     assert [run["state"] for run in runs["runs"]] == ["done"]
     assert len(runs["orders"]) == 1
