--- a/tests/services/test_claims.py
+++ b/tests/services/test_claims.py
@@ -1,4 +1,4 @@
-"""Requests that come again, through the same router or another."""
+"""Tests requests that are repeated through the same router or another one."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def fleet():
-    """Two routers that know each other, one gate desk and one object API."""
+    """Start two routers that share a backend server and an object API."""
     with contextlib.ExitStack() as stack:
         store = fakes.Store()
         first = stack.enter_context(scripted.run_router([confirm], store=store))
@@ -40,7 +40,7 @@
         yield first
 
 
-def ask(router, body="stand 12", key=scripted.KEY, **names):
+def send_request(router, body="stand 12", key=scripted.KEY, **names):
     headers = {"Authorization": f"Bearer {key}"}
     headers |= {name.replace("_", "-"): value for name, value in names.items()}
     answer = test_caller.ask(router, "POST", PATH, headers=headers, body=body)
@@ -54,7 +54,7 @@
 
 
 def wait_for_publishing(store):
-    """Wait until an answer stands beside its claim: that comes after the caller's."""
+    """Wait until an answer is stored with its claim, after the caller received it."""
     while not any(version > 1 for _, version in list(store.values.values())):
         time.sleep(0.01)
 
@@ -63,148 +63,156 @@
     return len(router.gates[0].received)
 
 
-def test_a_ticket_repeated_through_another_router_runs_once(fleet):
-    """A handler hears no answer, and her phone asks again through another router.
+def test_ticket_repeated_through_another_router_runs_once(fleet):
+    """Guards against running a request twice when its first answer was lost.
 
-    The first router had run the request; the answer was lost on the way. The second
-    router knows nothing of it.
+    The caller repeats the request through a second router, which has no record of it.
     """
     ticket = take_ticket(fleet)
-    assert ask(fleet, Celeryspan_Ticket=ticket)[:2] == (200, "ran")
-    status, outcome, answer = ask(fleet.second, Celeryspan_Ticket=ticket)
+    assert send_request(fleet, Celeryspan_Ticket=ticket)[:2] == (200, "ran")
+    status, outcome, answer = send_request(fleet.second, Celeryspan_Ticket=ticket)
     assert (status, outcome, answer.data) == (200, "ran", b"confirmed")
     assert answer.headers["Celeryspan-Repeat"] == "1"
     assert count_runs(fleet) == 1
 
 
-def test_a_request_passed_on_does_not_stay_in_progress(fleet):
-    """A router that is stopped for an upgrade waits for requests that ended long ago.
+def test_forwarded_request_does_not_stay_in_progress(fleet):
+    """Guards against a drain that waits for requests that have already ended.
 
-    One that another router passed on takes over that router's id after it was noted
+    A forwarded request takes over the id of the forwarding router after it was recorded
     as in progress under its own.
     """
-    ask(fleet.second, Celeryspan_Ticket=take_ticket(fleet))
+    send_request(fleet.second, Celeryspan_Ticket=take_ticket(fleet))
     for router in (fleet, fleet.second):
         router.drain.begin()
         assert not router.caller.in_progress
 
 
-def test_a_ticket_of_a_restarted_router_is_unknown(fleet):
-    """A booking was sent to a router that is then replaced; nobody else knows."""
+def test_ticket_of_a_restarted_router_has_unknown_outcome(fleet):
+    """Only the previous incarnation of the router knows whether the request ran."""
     ticket = take_ticket(fleet)
     for router in (fleet, fleet.second):
         router.membership.members = router.membership.members[1:]
     fleet.membership.incarnation = ids.Incarnation(8)
     for router in (fleet, fleet.second):
-        status, outcome, _ = ask(router, Celeryspan_Ticket=ticket)
+        status, outcome, _ = send_request(router, Celeryspan_Ticket=ticket)
         assert (status, outcome) == (502, "unknown")
     assert count_runs(fleet) == 0
 
 
-def test_two_at_once_with_one_ticket_run_once(fleet):
-    entered, leave = threading.Event(), threading.Event()
+def test_concurrent_requests_with_one_ticket_run_once(fleet):
+    entered, release = threading.Event(), threading.Event()
 
-    def confirm_late(connection, received):
+    def confirm_after_release(connection, received):
         entered.set()
-        leave.wait(10)
+        release.wait(10)
         return confirm(connection, received)
 
-    fleet.gates[0].script = confirm_late
+    fleet.gates[0].script = confirm_after_release
     ticket = take_ticket(fleet)
     answers = []
     threads = [
         threading.Thread(
-            target=lambda: answers.append(ask(fleet, Celeryspan_Ticket=ticket)[2].data)
+            target=lambda: answers.append(
+                send_request(fleet, Celeryspan_Ticket=ticket)[2].data
+            )
         )
         for _ in range(3)
     ]
     for thread in threads:
         thread.start()
     entered.wait(10)
-    leave.set()
+    release.set()
     for thread in threads:
         thread.join()
     assert answers == [b"confirmed"] * 3
     assert count_runs(fleet) == 1
 
 
-def test_a_refused_ticket_is_spent(fleet):
-    """A copy of a request arrives after its caller was told "not run" and gave up."""
+def test_refused_ticket_cannot_be_used_again(fleet):
+    """A delayed copy must not run after the caller received the outcome "not run"."""
     ticket = take_ticket(fleet)
     servers, fleet.dispatch.servers = fleet.dispatch.servers, []
-    assert ask(fleet, Celeryspan_Ticket=ticket)[:2] == (503, "not-run")
+    assert send_request(fleet, Celeryspan_Ticket=ticket)[:2] == (503, "not-run")
     fleet.dispatch.servers = servers
-    assert ask(fleet, Celeryspan_Ticket=ticket)[:2] == (503, "not-run")
+    assert send_request(fleet, Celeryspan_Ticket=ticket)[:2] == (503, "not-run")
     assert count_runs(fleet) == 0
 
 
-def test_a_name_is_bound_to_its_request_and_account(fleet):
+def test_ticket_and_key_are_bound_to_request_and_account(fleet):
     ticket = take_ticket(fleet)
-    ask(fleet, Idempotency_Key="k")
-    assert ask(fleet, body="other", Idempotency_Key="k")[:2] == (422, "not-run")
-    ask(fleet, Celeryspan_Ticket=ticket)
-    assert ask(fleet, body="other", Celeryspan_Ticket=ticket)[:2] == (422, "not-run")
-    answer = ask(fleet, key=scripted.OTHER_KEY, Idempotency_Key="k")[2]
+    send_request(fleet, Idempotency_Key="k")
+    assert send_request(fleet, body="other", Idempotency_Key="k")[:2] == (
+        422,
+        "not-run",
+    )
+    send_request(fleet, Celeryspan_Ticket=ticket)
+    assert send_request(fleet, body="other", Celeryspan_Ticket=ticket)[:2] == (
+        422,
+        "not-run",
+    )
+    answer = send_request(fleet, key=scripted.OTHER_KEY, Idempotency_Key="k")[2]
     assert "Celeryspan-Repeat" not in answer.headers
 
 
-def test_a_key_repeated_through_another_router_runs_once(fleet):
-    assert ask(fleet, Idempotency_Key="k")[:2] == (200, "ran")
-    status, outcome, answer = ask(fleet.second, Idempotency_Key="k")
+def test_key_repeated_through_another_router_runs_once(fleet):
+    assert send_request(fleet, Idempotency_Key="k")[:2] == (200, "ran")
+    status, outcome, answer = send_request(fleet.second, Idempotency_Key="k")
     assert (status, outcome, answer.data) == (200, "ran", b"confirmed")
     assert count_runs(fleet) == 1
 
 
-def test_the_answer_outlives_its_router_in_the_store(fleet):
-    ask(fleet, Idempotency_Key="k")
+def test_published_answer_outlives_its_router(fleet):
+    send_request(fleet, Idempotency_Key="k")
     wait_for_publishing(fleet.store)
     fleet.second.membership.members = fleet.second.membership.members[1:]
-    status, outcome, answer = ask(fleet.second, Idempotency_Key="k")
+    status, outcome, answer = send_request(fleet.second, Idempotency_Key="k")
     assert (status, outcome, answer.data) == (200, "ran", b"confirmed")
     assert count_runs(fleet) == 1
 
 
-def test_a_claim_whose_answer_was_lost_is_read_back(fleet):
-    """The store wrote the claim, and its answer was lost.
+def test_claim_is_read_back_after_a_lost_store_answer(fleet):
+    """Guards against refusing a key whose claim was stored but not confirmed.
 
-    Taking the loss for a failure refuses the request for good; writing again finds
-    the claim taken, by the router itself.
+    If the router took the lost answer for a failure, the key would be refused for good;
+    if it wrote again, it would find the key claimed by itself.
     """
     fleet.store.answers_lost = 1
-    assert ask(fleet, Idempotency_Key="k")[:2] == (200, "ran")
+    assert send_request(fleet, Idempotency_Key="k")[:2] == (200, "ran")
     fleet.second.membership.members = fleet.second.membership.members[1:]
-    assert ask(fleet.second, Idempotency_Key="k")[:2] == (200, "ran")
+    assert send_request(fleet.second, Idempotency_Key="k")[:2] == (200, "ran")
     assert count_runs(fleet) == 1
 
 
-def test_a_key_is_refused_while_the_store_is_down_and_runs_later(fleet):
+def test_key_is_refused_during_a_store_outage_and_runs_later(fleet):
     fleet.store.down = True
-    status, outcome, answer = ask(fleet, Idempotency_Key="k")
+    status, outcome, answer = send_request(fleet, Idempotency_Key="k")
     assert (status, outcome) == (503, "not-run")
     assert answer.headers["Retry-After"] == "5"
     fleet.store.down = False
-    assert ask(fleet, Idempotency_Key="k")[:2] == (200, "ran")
+    assert send_request(fleet, Idempotency_Key="k")[:2] == (200, "ran")
     assert count_runs(fleet) == 1
 
 
-def test_a_claim_of_a_lost_router_is_never_taken_over(fleet):
-    """A router claims a key, is paused, and its caller asks another one.
+def test_claim_of_an_unreachable_router_is_not_taken_over(fleet):
+    """Guards against running a request twice when the owner of its key is suspended.
 
-    If the other one took the claim over, the first would go on to send as well.
+    If another router took over the claim, the owner would also send the request when it
+    resumes.
     """
     fleet.dispatch.full = True
-    paused = threading.Thread(target=lambda: ask(fleet, Idempotency_Key="k"))
+    paused = threading.Thread(target=lambda: send_request(fleet, Idempotency_Key="k"))
     paused.start()
     fleet.dispatch.waiting.wait(10)
     fleet.second.membership.members = fleet.second.membership.members[1:]
-    assert ask(fleet.second, Idempotency_Key="k")[:2] == (502, "unknown")
+    assert send_request(fleet.second, Idempotency_Key="k")[:2] == (502, "unknown")
     for event in fleet.dispatch.cancelled.values():
         event.set()
     paused.join()
     assert count_runs(fleet) == 0
 
 
-def test_a_forwarded_request_needs_a_proof(fleet):
+def test_forwarded_request_needs_a_valid_proof(fleet):
     answer = test_caller.ask(
         fleet,
         "POST",
