--- a/celeryspan/services/counters.py
+++ b/celeryspan/services/counters.py
@@ -86,9 +86,9 @@
         with self.lock:
             self.counters.record_service(service, account, units)
 
-    def broadcast(self, found: Iterable[messages.Lift | messages.Pending]) -> None:
+    def broadcast(self, decisions: Iterable[messages.Lift | messages.Pending]) -> None:
         """Send decisions of the local home to the other homes of the service."""
-        for message in found:
+        for message in decisions:
             self._send_to_homes(message.service, message)
 
     def report(self) -> dict[str, object]:
@@ -123,22 +123,22 @@
 
     def _make_snapshot(self) -> messages.Snapshot:
         with self.lock:
-            found = self.counters.snapshot()
+            current = self.counters.snapshot()
         return messages.Snapshot(
-            found.counters,
-            found.lifts,
-            tuple(messages.Total(*key, units) for key, units in found.folded.items()),
-            tuple(messages.Gone(*item) for item in found.gone.items()),
+            current.counters,
+            current.lifts,
+            tuple(messages.Total(*key, units) for key, units in current.folded.items()),
+            tuple(messages.Gone(*item) for item in current.gone.items()),
         )
 
     def _handle_snapshot(
-        self, router: ids.RouterId, _: ids.Incarnation, found: messages.Snapshot
+        self, router: ids.RouterId, _: ids.Incarnation, received: messages.Snapshot
     ) -> None:
-        folded = {(item.service, item.account): item.units for item in found.totals}
-        gone = {item.router: item.incarnation for item in found.gone}
+        folded = {(item.service, item.account): item.units for item in received.totals}
+        gone = {item.router: item.incarnation for item in received.gone}
         with self.lock:
             self.counters.load_snapshot(
-                sharing.Snapshot(found.counters, found.lifts, folded, gone)
+                sharing.Snapshot(received.counters, received.lifts, folded, gone)
             )
 
     def _find_weight(self, account: ids.AccountId) -> float:
--- a/celeryspan/services/homes.py
+++ b/celeryspan/services/homes.py
@@ -30,8 +30,8 @@
 # handled one by one; the delay lets a demand count together with its used grants.
 BATCH_SECONDS = 0.0005
 
-# Interval at which the other homes of a service receive lifts and pending requests. The
-# replay figures in ``docs/design/exchange.md`` apply to this interval.
+# Interval at which the other homes of a service receive lifts and the charges for slots
+# held. The replay figures in ``docs/design/exchange.md`` apply to this interval.
 BROADCAST_SECONDS = 0.02
 
 # Interval at which grants expire and windows are updated: a tenth of the validity of a
--- a/celeryspan/services/outliers.py
+++ b/celeryspan/services/outliers.py
@@ -100,9 +100,9 @@
             with self._lock:
                 detectors = list(self._detectors.values())
                 changes = [
-                    each
+                    trial
                     for detector in detectors
-                    for each in detector.start_due_trials(now)
+                    for trial in detector.start_due_trials(now)
                 ]
             self._apply(changes)
             for server in tuple(self._ejected):
