--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -147,7 +147,7 @@
             {
                 "addresses": listed,
                 "keep_seconds": self.settings.address_seconds,
-                "tickets": self.claims.issue(count),
+                "tickets": self.claims.issue_tickets(count),
             }
         )
 
@@ -156,7 +156,7 @@
         call = chat.read_call(http_exchange)
         self._acquire_thread(http_exchange, call)
         http_exchange.watch_caller()
-        return self.claims.carry(
+        return self.claims.run_once(
             http_exchange,
             call,
             lambda: chat.write_answer(call, self.requests.call_model(call)),
@@ -167,7 +167,7 @@
         call = plaincalls.read_call(http_exchange)
         self._acquire_thread(http_exchange, call)
         http_exchange.watch_caller()
-        return self.claims.carry(
+        return self.claims.run_once(
             http_exchange,
             call,
             lambda: plaincalls.write_answer(call, self.requests.call_plain(call)),
--- a/celeryspan/services/links.py
+++ b/celeryspan/services/links.py
@@ -233,7 +233,7 @@
         return connection
 
     def _record_refusal(self, address: str, error: Exception) -> None:
-        self._traffic.refuse()
+        self._traffic.count_refused_peer()
         events.log(events.Event.LINK_REFUSED, peer=address, error=str(error))
 
     def _run_connection(self, connection: connections.Connection) -> None:
--- a/celeryspan/services/plainanswers.py
+++ b/celeryspan/services/plainanswers.py
@@ -38,7 +38,7 @@
         self._run = run
         self._set_limits(call)
         try:
-            adapter.send(run.link, call, run.name)
+            adapter.send(run.link, call, run.id)
             self.head, self._pieces = adapter.receive(run.link)
             run.progress.answer()
             self.first_part, self.is_complete = self._read_first_part()
@@ -46,7 +46,7 @@
             raise run.fail(error) from error
         run.progress.confirm()
         if self.is_complete:
-            run.finish(run.milliseconds)
+            run.finish(run.elapsed_milliseconds)
 
     def read(self) -> Iterator[bytes]:
         """Yield the body; raises AnswerLost if the connection fails."""
@@ -59,11 +59,11 @@
             raise backend.AnswerLost(
                 repr(error), step="read answer", peer=self._run.slot.server
             ) from error
-        self._run.finish(self._run.milliseconds)
+        self._run.finish(self._run.elapsed_milliseconds)
 
     def close(self) -> None:
         """Discard the unread part of the body and end the run."""
-        self._run.abandon(dispatch.Ending.CANCELLED, self._run.milliseconds)
+        self._run.abandon(dispatch.Ending.CANCELLED, self._run.elapsed_milliseconds)
 
     def _set_limits(self, call: calls.Call) -> None:
         """Set the read timeout, and let calls that are not idempotent run to their end.
@@ -77,7 +77,7 @@
             self._run.link, min(PLAIN_ANSWER_TIMEOUT_SECONDS, max(left, 0.1))
         )
         if not call.idempotent:
-            call.presence.watch(self._run.wake, must_end=True)
+            call.presence.watch(self._run.abort_read, must_end=True)
 
     def _read_first_part(self) -> tuple[bytes, bool]:
         collected = bytearray()
--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -30,7 +30,7 @@
 
     def __init__(self, box: kernel.Kernel) -> None:
         self._dispatch: dispatch.Dispatcher = box.find("dispatch")
-        self._backends: backends.Backends = box.find("backends")
+        self._backends: backends.BackendConnections = box.find("backends")
         self._meters: metrics.Metrics = box.find("metrics")
         self.sleep = time.sleep
         self._retries = retries.RetryPolicy()
@@ -94,7 +94,7 @@
             run = runs.Run(self._backends, slot, progress, observation, name)
             try:
                 answer = self._attempt(call, run, begin)
-            except runs.Failure as failure:
+            except runs.RunFailure as failure:
                 excluded.add(slot.server)
                 self._wait_for_retry(call, progress, failure, number)
                 continue
@@ -135,7 +135,7 @@
             run.open(call)
             run.send(call)
             return begin(run)
-        except runs.Failure:
+        except runs.RunFailure:
             raise
         except errors.RequestError as error:
             run.abandon(dispatch.Ending.CANCELLED)
@@ -153,7 +153,7 @@
         self,
         call: calls.Call,
         progress: outcomes.RequestProgress,
-        failure: runs.Failure,
+        failure: runs.RunFailure,
         number: int,
     ) -> None:
         """Wait for the retry delay; raises RequestError if no retry is allowed."""
