--- a/celeryspan/calls.py
+++ b/celeryspan/calls.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, free of HTTP and of any backend server's field names."""
+"""Requests of callers, independent of HTTP and of the protocols of backend servers."""
 
 from __future__ import annotations
 
@@ -9,80 +9,85 @@
 
 from celeryspan import ids
 
-# Methods that RFC 9110 calls safe. PUT and DELETE are idempotent by the RFC, but
-# services exist that book by PUT; they are repeated only if the register says so.
+# Methods that RFC 9110 defines as safe. It also defines PUT and DELETE as idempotent,
+# but some services make bookings with PUT, so these methods are repeated only if the
+# register allows it.
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
-class Presence:
-    """Whether somebody waits for the answer of one request.
+class Cancellation:
+    """The cancellation state of one request.
 
-    Each step of the request leaves a callback that ends it: it takes the request out
-    of its queue, or wakes the thread that reads from the backend server.
+    The current step of the request registers a callback that interrupts it, for
+    example by removing the request from its queue or by waking the thread that reads
+    from the backend server.
 
     Attributes
     ----------
-    left : bool
+    caller_left : bool
         Whether the caller has closed its connection.
-    cut : bool
-        Whether a stop has reached its greatest time.
+    aborted : bool
+        Whether the router aborted the request because its stop timeout expired.
 
     Parameters
     ----------
     is_closed : callable, optional
-        Looks whether the caller has closed its connection by now.
+        Returns whether the caller's connection is closed now.
     """
 
     def __init__(self, is_closed: Callable[[], bool] = lambda: False) -> None:
         self._is_closed = is_closed
         self._lock = threading.Lock()
         self._callback: Callable[[], None] | None = None
-        self._must_end = False
-        self.left = False
-        self.cut = False
+        self._only_on_abort = False
+        self.caller_left = False
+        self.aborted = False
 
     @property
-    def gone(self) -> bool:
-        """Whether nobody waits any more."""
-        return self.left or self.cut
+    def is_cancelled(self) -> bool:
+        """Whether nobody waits for the answer any more."""
+        return self.caller_left or self.aborted
 
-    def watch(self, callback: Callable[[], None], *, must_end: bool = False) -> None:
-        """Call back when nobody waits any more; at once if that is so already.
+    def on_cancel(
+        self, callback: Callable[[], None], *, only_on_abort: bool = False
+    ) -> None:
+        """Set the callback for a cancellation; call it now if that has happened.
 
         Parameters
         ----------
-        must_end : bool
-            The step goes on if the caller leaves, and ends only by a cut.
+        only_on_abort : bool
+            The step runs to its end even if the caller leaves; only an abort
+            interrupts it.
         """
         with self._lock:
             self._callback = callback
-            self._must_end = must_end
-            ends = self.cut or (self.left and not must_end)
-        if ends:
+            self._only_on_abort = only_on_abort
+            call_now = self.aborted or (self.caller_left and not only_on_abort)
+        if call_now:
             callback()
 
-    def look(self) -> bool:
-        """Return whether nobody waits any more, by a look at the connection itself.
+    def check_connection(self) -> bool:
+        """Check the caller's connection and return whether the request is cancelled.
 
-        The thread that notices closed connections may not have run for most of a
-        second on a VM that has too much to do; what was sent meanwhile ran for nobody.
+        On an overloaded VM the thread that watches for closed connections may not run
+        for most of a second; requests sent in that time would run for nobody.
         """
-        if not self.gone and self._is_closed():
-            self.leave()
-        return self.gone
+        if not self.is_cancelled and self._is_closed():
+            self.note_caller_left()
+        return self.is_cancelled
 
-    def leave(self) -> None:
-        """Say that the caller has left."""
+    def note_caller_left(self) -> None:
+        """Record that the caller has left, and interrupt the current step."""
         with self._lock:
-            self.left = True
-            callback = None if self._must_end else self._callback
+            self.caller_left = True
+            callback = None if self._only_on_abort else self._callback
         if callback is not None:
             callback()
 
-    def end(self) -> None:
-        """Say that the process stops."""
+    def abort(self) -> None:
+        """Abort the request because the process stops."""
         with self._lock:
-            self.cut = True
+            self.aborted = True
             callback = self._callback
         if callback is not None:
             callback()
@@ -94,17 +99,17 @@
     Attributes
     ----------
     target : str
-        Path and query towards a plain service, as the caller wrote them.
+        Path and query for a plain service, as the caller sent them.
     idempotent : bool
-        Whether a second run does no harm.
+        Whether the request may safely run twice.
     deadline : float
-        Monotonic time after which the router gives up, in seconds.
+        Monotonic time at which the router gives up, in seconds.
     headers : tuple of (name, value)
-        Headers to pass on.
+        Headers to forward.
     hint : float or None
-        Rough cost known beforehand, in cost units.
+        Estimated cost, in cost units.
     prefix : tuple of int
-        Chained hashes of the prompt's blocks.
+        Chained hashes of the prompt's blocks; empty for plain services.
     """
 
     request: ids.RequestId
@@ -118,7 +123,7 @@
     body: bytes = b""
     hint: float | None = None
     prefix: tuple[int, ...] = ()
-    presence: Presence = msgspec.field(default_factory=Presence)
+    cancellation: Cancellation = msgspec.field(default_factory=Cancellation)
 
 
 class ChatCall(Call, frozen=True, kw_only=True):
@@ -127,11 +132,11 @@
     Attributes
     ----------
     messages : tuple of dict
-        The chat so far, each with ``role`` and ``content``.
+        Messages of the chat so far, each with ``role`` and ``content``.
     tokens_max : int
-        Greatest number of tokens of the answer.
+        Maximum number of tokens in the answer.
     stream : bool
-        Whether the caller wants the tokens as they come.
+        Whether the caller wants tokens as they are generated.
     """
 
     model: str
@@ -141,5 +146,5 @@
 
 
 def is_idempotent(method: str, path: str, prefixes: tuple[str, ...]) -> bool:
-    """Say whether a call may run twice, by its method or the register."""
+    """Return whether a call may run twice: by its method, or by its path's prefix."""
     return method in SAFE_METHODS or any(path.startswith(item) for item in prefixes)
--- a/celeryspan/gateway/acceptance.py
+++ b/celeryspan/gateway/acceptance.py
@@ -62,7 +62,7 @@
         body=body,
         received_at=received_at,
         deadline=received_at + seconds,
-        presence=calls.Presence(lambda: has_disconnected(request)),
+        cancellation=calls.Cancellation(lambda: has_disconnected(request)),
     )
 
 
--- a/celeryspan/gateway/attempts.py
+++ b/celeryspan/gateway/attempts.py
@@ -71,7 +71,7 @@
     ) -> None:
         """Return if a request without an answer is to be retried; raise if not."""
         progress.may_have_run = True
-        if order.presence.gone:
+        if order.cancellation.is_cancelled:
             raise ConnectionAbortedError("the caller closed the connection")
         can_retry = order.route.is_repeatable and self.reserve_retry(order, progress)
         if can_retry:
@@ -106,6 +106,9 @@
             return False
         if progress.sends >= order.route.attempts_max:
             return False
-        if order.remaining_seconds() < RETRY_SECONDS_MIN or order.presence.gone:
+        if (
+            order.remaining_seconds() < RETRY_SECONDS_MIN
+            or order.cancellation.is_cancelled
+        ):
             return False
         return self._budgets.try_take(order.service)
--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -119,7 +119,7 @@
         self, order: orders.Order, progress: requestprogress.Progress
     ) -> places.Place | None:
         """Return a place, or None if an earlier server error is to be returned."""
-        order.presence.watch(lambda: self._places.cancel(order.request))
+        order.cancellation.on_cancel(lambda: self._places.cancel(order.request))
         try:
             self._quarantine.check(order, progress)
             return self._places.acquire(
@@ -176,7 +176,7 @@
             return False
         self._check_before_send(order, place, progress, channel)
         ending = states.RunEnding.FAILED
-        order.presence.watch(channel.make_abort_callback())
+        order.cancellation.on_cancel(channel.make_abort_callback())
         until = order.deadline
         if self._attempts.may_abandon_silent_server(order, progress):
             until = min(
@@ -194,7 +194,7 @@
             self._attempts.handle_rejection(order, progress, declined)
         except backend.AnswerLost as lost:
             ending = states.RunEnding.CANCELLED
-            if not order.presence.gone:
+            if not order.cancellation.is_cancelled:
                 if self._sender.resume(order, place, progress, sink):
                     ending = states.RunEnding.ANSWERED
                     self._quarantine.note_answered(order, progress)
@@ -287,7 +287,7 @@
                     step="send",
                     peer=place.server,
                 )
-            if order.presence.look():
+            if order.cancellation.check_connection():
                 raise ConnectionAbortedError("the caller closed the connection")
             self._quarantine.check(order, progress)
         except errors.NotRun as refusal:
--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -82,7 +82,7 @@
         lost: backend.AnswerLost,
     ) -> None:
         """Note that a run has lost its connection; timeouts tell nothing."""
-        if _is_timeout(lost) or order.presence.gone:
+        if _is_timeout(lost) or order.cancellation.is_cancelled:
             return
         now = time.monotonic()
         since = progress.answer_begun_at or progress.last_sent_at
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -166,7 +166,7 @@
         with self._lock:
             found = [order for order in self._in_progress.values() if order]
         for order in found:
-            order.presence.end()
+            order.cancellation.abort()
         return [order.request for order in found]
 
     def serve(self, request: cheroot_server.HTTPRequest) -> None:
@@ -184,7 +184,9 @@
             order = acceptance.make_order(request, body, current)
             with self._lock:
                 self._in_progress[key] = order
-            self._server.close_watcher.add(request.conn.socket, order.presence.leave)
+            self._server.close_watcher.add(
+                request.conn.socket, order.cancellation.note_caller_left
+            )
             self._forward(order, sink)
         except errors.RequestError as error:
             self._refuse(sink, request_id.decode("latin-1"), error, order)
--- a/celeryspan/gateway/orders.py
+++ b/celeryspan/gateway/orders.py
@@ -41,7 +41,7 @@
     deadline : float
         Monotonic time at which the request must have ended, in seconds: the earlier of
         the route's timeout and the caller's.
-    presence : Presence
+    cancellation : Cancellation
         Tells whether the caller is still connected.
     """
 
@@ -54,7 +54,7 @@
     body: bytes
     received_at: float
     deadline: float
-    presence: calls.Presence = msgspec.field(default_factory=calls.Presence)
+    cancellation: calls.Cancellation = msgspec.field(default_factory=calls.Cancellation)
 
     @property
     def request(self) -> ids.RequestId:
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -209,7 +209,7 @@
         self._quarantine.check(order, progress)
         channel = self._channels.open(entry, at_most_once=True)
         self._quarantine.note_sent(order, progress)
-        order.presence.watch(channel.make_abort_callback())
+        order.cancellation.on_cancel(channel.make_abort_callback())
         try:
             reply = self.send(
                 order, entry.server, progress, channel, order.deadline, moved_from
--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -102,7 +102,7 @@
         with self._lock:
             cancelled = list(self.in_progress)
         for item in cancelled:
-            item.presence.end()
+            item.cancellation.abort()
         return [item.request for item in cancelled]
 
     def serve(self, handler: Handler) -> object:
--- a/celeryspan/services/chat.py
+++ b/celeryspan/services/chat.py
@@ -40,7 +40,7 @@
         target=PATH,
         prefix=prefix.hash_blocks(messages),
         hint=_estimate(payload, service),
-        presence=http_exchange.presence,
+        cancellation=http_exchange.cancellation,
         model=service.name,
         messages=messages,
         tokens_max=_read_tokens_max(payload),
--- a/celeryspan/services/claims.py
+++ b/celeryspan/services/claims.py
@@ -168,7 +168,7 @@
 
     def _wait(self, name: claims.RequestName, call: calls.Call) -> None:
         """Wait while an equal request runs; raises OutcomeUnknown after a time."""
-        while time.monotonic() < call.deadline and not call.presence.gone:
+        while time.monotonic() < call.deadline and not call.cancellation.is_cancelled:
             with self._changed:
                 if self._changed.wait_for(lambda: not self._runs(name), LOOK_SECONDS):
                     return
--- a/celeryspan/services/exchange.py
+++ b/celeryspan/services/exchange.py
@@ -32,7 +32,7 @@
     ----------
     request : RequestId
         Generated id, unique in the fleet; replaced by that of a forwarded request.
-    presence : Presence
+    cancellation : Cancellation
         Whether the caller still waits for the answer.
     forwarded : bool
         Whether the request was forwarded by another router of the fleet.
@@ -41,7 +41,7 @@
     def __init__(self, current: configuration.Configuration | None) -> None:
         self.request = ids.RequestId(uuid.uuid4().hex)
         self.started = time.monotonic()
-        self.presence = calls.Presence()
+        self.cancellation = calls.Cancellation()
         self.headers: dict[str, str] = cherrypy.request.headers
         self.method: str = cherrypy.request.method
         self._environ: dict[str, Any] = cherrypy.request.wsgi_environ
@@ -157,7 +157,7 @@
 
     def _handle_caller_left(self) -> None:
         events.log(events.Event.CALLER_LEFT, request=self.request)
-        self.presence.leave()
+        self.cancellation.note_caller_left()
 
     def _reject(self, message: str, code: str, status: int) -> errors.NotRun:
         """Return the error for an unreadable body and close the connection."""
--- a/celeryspan/services/forwarding.py
+++ b/celeryspan/services/forwarding.py
@@ -52,7 +52,7 @@
         if found.forwarded:
             raise make_gone(owner, "was asked twice over")
         link = self._connect(owner)
-        call.presence.watch(lambda: backends.abort(link))
+        call.cancellation.on_cancel(lambda: backends.abort(link))
         events.log(
             events.Event.REQUEST_FORWARDED, request=found.request, router=owner.router
         )
--- a/celeryspan/services/modelanswers.py
+++ b/celeryspan/services/modelanswers.py
@@ -56,7 +56,7 @@
         try:
             yield from self._buffer.read()
         except (backend.AnswerLost, backend.StreamRefused) as error:
-            self._failed = not self._call.presence.left
+            self._failed = not self._call.cancellation.caller_left
             raise backend.AnswerLost(
                 error.message, step=error.step, peer=error.peer
             ) from error
@@ -143,7 +143,7 @@
             progress.confirm()
 
     def _is_cancelled(self) -> bool:
-        return self._closed or self._call.presence.gone
+        return self._closed or self._call.cancellation.is_cancelled
 
     def _cancel(self) -> None:
         """Cancel the run on the engine; if that fails, the slot is freed at its end."""
--- a/celeryspan/services/plainanswers.py
+++ b/celeryspan/services/plainanswers.py
@@ -77,7 +77,7 @@
             self._run.link, min(PLAIN_ANSWER_TIMEOUT_SECONDS, max(left, 0.1))
         )
         if not call.idempotent:
-            call.presence.watch(self._run.wake, must_end=True)
+            call.cancellation.on_cancel(self._run.wake, only_on_abort=True)
 
     def _read_first_part(self) -> tuple[bytes, bool]:
         collected = bytearray()
--- a/celeryspan/services/plaincalls.py
+++ b/celeryspan/services/plaincalls.py
@@ -56,7 +56,7 @@
         headers=tuple(_select_headers(http_exchange)),
         body=http_exchange.read_body(),
         hint=service.cost_hint,
-        presence=http_exchange.presence,
+        cancellation=http_exchange.cancellation,
     )
 
 
--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -117,7 +117,7 @@
             excluded=excluded,
             size=len(call.body),
         )
-        call.presence.watch(lambda: self._dispatch.cancel(call.request))
+        call.cancellation.on_cancel(lambda: self._dispatch.cancel(call.request))
         try:
             slot = self._dispatch.acquire(work)
         except errors.NotRun as error:
@@ -157,7 +157,7 @@
         number: int,
     ) -> None:
         """Wait for the retry delay; raises RequestError if no retry is allowed."""
-        if call.presence.gone:
+        if call.cancellation.is_cancelled:
             raise make_error(progress.settle(), failure, code="caller-left")
         attempt = retries.Attempt(
             service=call.service,
--- a/celeryspan/services/runs.py
+++ b/celeryspan/services/runs.py
@@ -49,11 +49,12 @@
 
     def open(self, call: calls.Call) -> None:
         """Open a link; nothing is sent yet. Raises Failure."""
-        if call.presence.gone or time.monotonic() >= call.deadline:
+        if call.cancellation.is_cancelled or time.monotonic() >= call.deadline:
             # A process that was stopped and goes on finds its clock moved: the caller
             # has been given up long ago and must not be surprised by a late run.
             self.progress.release()
-            code = "deadline-passed" if not call.presence.gone else "caller-left"
+            cancelled = call.cancellation.is_cancelled
+            code = "caller-left" if cancelled else "deadline-passed"
             raise errors.NotRun(
                 "nobody waits for the answer any more",
                 code=code,
@@ -83,7 +84,7 @@
             run=self.name,
             server=self.slot.server,
         )
-        call.presence.watch(self.wake)
+        call.cancellation.on_cancel(self.wake)
 
     def wake(self) -> None:
         """Wake the thread that reads the answer; its caller has left."""
