--- a/celeryspan/catalog.py
+++ b/celeryspan/catalog.py
@@ -1,6 +1,6 @@
-"""What operators configure on the platform: routes, services, accounts and limits.
+"""The configuration of the platform: routes, services, client accounts and limits.
 
-A catalogue is immutable; a newer version replaces it whole.
+A catalogue is immutable; a newer version replaces it as a whole.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from celeryspan import ids
 
 SPLIT_BUCKETS = 10_000
-"""Steps in which a route divides its requests among services."""
+"""Number of hash buckets by which a route splits its requests among services."""
 
 
 class RouteKind(enum.Enum):
-    """What may be done with a request whose outcome is not known."""
+    """How the requests of a route may be retried when their outcome is unknown."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -27,29 +27,30 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service that gets a share of the requests of a route."""
+    """A service that receives a weighted share of the requests of a route."""
 
     service: ids.ServiceId
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of one host and path prefix go, and how they are treated.
+    """Targets and request policy for one host and path prefix.
 
     Attributes
     ----------
     timeout : float
-        Longest time that a request is kept, in seconds.
+        Maximum duration of a request, in seconds.
     target_latency : float
-        Latency objective of an answer, or of the first event of a stream, in seconds.
+        Latency objective for an answer or the first event of a stream, in seconds.
     gap_max : float
-        Longest pause between events for which a stream is on time, in seconds.
+        Longest gap between events at which a stream still meets its objective, in
+        seconds.
     attempts_max : int
-        Greatest number of backend servers that one request is sent to.
+        Maximum number of backend servers that one request is sent to.
     is_anonymous : bool
-        Whether requests need no key.
+        Whether requests are accepted without a key.
     is_resumable : bool
-        Whether another backend server may go on with a broken stream.
+        Whether another backend server may resume a broken stream.
     """
 
     name: str
@@ -74,35 +75,37 @@
     def choose_service(self, request: ids.RequestId) -> ids.ServiceId | None:
         """Return the service of one request, or None if no target has a weight.
 
-        The choice hangs on the request alone, so that all its attempts agree.
+        The choice depends only on the request id, so that every attempt of a request
+        goes to the same service.
         """
         total = sum(target.weight for target in self.targets)
         if total <= 0:
             return None
-        draw = xxhash.xxh3_64_intdigest(request.encode()) % SPLIT_BUCKETS
-        place = total * draw / SPLIT_BUCKETS
+        bucket = xxhash.xxh3_64_intdigest(request.encode()) % SPLIT_BUCKETS
+        remaining = total * bucket / SPLIT_BUCKETS
         for target in self.targets:
-            place -= target.weight
-            if place < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return self.targets[-1].service
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What is known of the model engines of a service.
+    """Properties of the model engines of a service.
 
     Attributes
     ----------
     slots : int
-        Requests that run at once.
+        Number of requests that run concurrently.
     memory_tokens : int
-        Tokens of running requests and kept prompt parts that fit together.
+        Memory capacity in tokens, shared by running requests and kept prompt parts.
     stride : int
-        Tokens in one event of a stream.
+        Number of tokens in one event of a stream.
     moves : bool
-        Whether a run may be moved to another engine with what it has read.
+        Whether a run can be migrated to another engine together with its KV cache.
     copy_token_seconds : float
-        To copy what was read of one token to another engine; 0 if that can't be done.
+        Time to copy the KV cache of one token to another engine, in seconds; 0 if
+        engines can't copy it.
     """
 
     slots: int
@@ -113,7 +116,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service; ``engine`` is None for plain services."""
+    """A service; ``engine`` is None for a plain service."""
 
     name: ids.ServiceId
     connections_max: int
@@ -121,14 +124,15 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Bounds on what callers send.
+    """Limits on the requests that callers send.
 
     Attributes
     ----------
     header_seconds, idle_seconds : float
-        Longest time for the head of a request, and between two requests.
+        Maximum time to receive the head of a request, and between two requests on one
+        connection.
     tokens_per_second : float
-        Throughput of all model engines together.
+        Total throughput of all model engines.
     """
 
     header_bytes: int = 16_384
@@ -144,12 +148,12 @@
     Attributes
     ----------
     revision : int
-        Place of this version in the order of all writes to the store; a router never
-        goes back to a lower one.
+        Revision of the store at which this version was written; a router never
+        returns to a lower one.
     accounts : dict
-        Client account of each key.
+        Client account by key.
     needs_keys : bool
-        Whether routes that are not anonymous ask for a key at all.
+        Whether routes that are not anonymous require a key.
     """
 
     version: int
@@ -162,7 +166,7 @@
 
     @functools.cached_property
     def _by_host(self) -> dict[str, tuple[Route, ...]]:
-        """Routes of each host, longest prefix first."""
+        """Routes by host, longest prefix first."""
         found: dict[str, list[Route]] = collections.defaultdict(list)
         for route in self.routes:
             found[route.host].append(route)
@@ -172,7 +176,7 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path, or None."""
+        """Return the route with the longest prefix that matches a path, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -180,15 +184,15 @@
 
 
 class ServerEntry(msgspec.Struct, frozen=True):
-    """A backend server as it last described itself.
+    """A backend server as described by the last entry that it published.
 
     Attributes
     ----------
     revision : int
-        Place of this description in the order of all writes to the store.
+        Revision of the store at which this entry was written.
     started_ms : int or None
-        When this incarnation started, in Unix milliseconds; None if it doesn't say. A
-        server may start again under its id, and then holds nothing of before.
+        When this incarnation started, in Unix milliseconds; None if the server doesn't
+        report it. A server may restart under its id; it then has lost all its state.
     """
 
     server: ids.ServerId
@@ -203,7 +207,7 @@
     def succeeds(self, other: ServerEntry) -> bool:
         """Whether this is a later incarnation of the same server.
 
-        Compared with an entry that does not say when it started nothing is known.
+        This can't be told, and is False, if either entry lacks a start time.
         """
         if self.started_ms is None or other.started_ms is None:
             return False
--- a/celeryspan/changes.py
+++ b/celeryspan/changes.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, as lines for an operator."""
+"""Describes the differences between two configurations, one line for each."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 from celeryspan import configuration, register, rules
 
-KINDS = {
+ENTRY_KINDS = {
     "data_centres": "data centre",
     "vms": "VM",
     "services": "service",
     "servers": "server",
     "accounts": "client account",
 }
-"""The word for an entry of each table of the register."""
+"""What an entry of each table of the register is called in the output."""
 
-SHOWN_CHARACTERS = 45
-"""Longer texts, such as hashes of keys, are cut; an IPv6 address fits whole."""
+VALUE_CHARACTERS_MAX = 45
+"""Longer values, such as key hashes, are truncated; an IPv6 address is not."""
 
 
 def describe_changes(
     old: configuration.Configuration | None,
-    entries: register.Register,
-    added: rules.Rules,
+    new_register: register.Register,
+    new_rules: rules.Rules,
 ) -> list[str]:
     """Return one line for each entry added (+), removed (-) or changed (~)."""
     if old is None:
@@ -32,15 +32,15 @@
     else:
         old_register, old_rules = old.register, old.rules
     lines: list[str] = []
-    if old_register and old_register.firm != entries.firm:
-        lines.append(f"~ firm: {old_register.firm} -> {entries.firm}")
-    for table, kind in KINDS.items():
+    if old_register and old_register.firm != new_register.firm:
+        lines.append(f"~ firm: {old_register.firm} -> {new_register.firm}")
+    for table, kind in ENTRY_KINDS.items():
         old_table = getattr(old_register, table) if old_register else ()
-        lines += _compare_tables(kind, old_table, getattr(entries, table))
-    lines += _compare_weights(old_rules.weights, added.weights)
-    before, after = old_rules.retirements, added.retirements
+        lines += _compare_tables(kind, old_table, getattr(new_register, table))
+    lines += _compare_weights(old_rules.weights, new_rules.weights)
+    before, after = old_rules.retirements, new_rules.retirements
     lines += _compare_names("retirement", before, after)
-    before, after = old_rules.planned_stops, added.planned_stops
+    before, after = old_rules.planned_stops, new_rules.planned_stops
     lines += _compare_names("planned stop", before, after)
     return lines
 
@@ -55,8 +55,8 @@
         if old[name] == new[name]:
             continue
         fields = (
-            f"{field}: {_show(getattr(old[name], field))} -> "
-            f"{_show(getattr(new[name], field))}"
+            f"{field}: {_format_value(getattr(old[name], field))} -> "
+            f"{_format_value(getattr(new[name], field))}"
             for field in type(new[name]).model_fields
             if getattr(old[name], field) != getattr(new[name], field)
         )
@@ -76,8 +76,10 @@
             yield f"~ weight {name}: {before:g} -> {after:g}"
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, tuple):
-        return f"[{', '.join(_show(item) for item in value)}]"
+        return f"[{', '.join(_format_value(item) for item in value)}]"
     text = str(getattr(value, "value", value))
-    return text if len(text) <= SHOWN_CHARACTERS else text[:SHOWN_CHARACTERS] + "..."
+    if len(text) <= VALUE_CHARACTERS_MAX:
+        return text
+    return text[:VALUE_CHARACTERS_MAX] + "..."
--- a/celeryspan/checks.py
+++ b/celeryspan/checks.py
@@ -1,11 +1,11 @@
-"""Checks between the entries of register, rules and settings.
+"""Checks that compare several entries of the register and the rules.
 
-The models check each value for itself; what needs two of them is checked here. A check
-is a function that yields faults; a decorator puts it into the registry of its subject.
+The models validate single values; constraints between values are checked here. A check
+is a function that yields faults and is registered by a decorator.
 
-Checks read the values as they stand in the file, not the models, so that an operator
-sees these faults together with those of single values. Values of a wrong type are
-passed over: the models name them.
+Checks read the parsed file, not the models, so that an operator sees these faults
+together with those of single values. They skip values of a wrong type, which the models
+report.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from celeryspan import faults
 
-NAMES_SHOWN = 8
-"""So many of the known names are listed where an unknown one was found."""
+NAMES_LISTED_MAX = 8
+"""Maximum number of known names that a fault about an unknown name lists."""
 
 TABLES = ("data_centres", "vms", "services", "servers", "accounts")
 
@@ -28,13 +28,13 @@
 
 
 def on_register(check: RegisterCheck) -> RegisterCheck:
-    """Put a check into the registry of those that read the register."""
+    """Register a check of the register."""
     REGISTER_CHECKS.append(check)
     return check
 
 
 def on_rules(check: RulesCheck) -> RulesCheck:
-    """Put a check into the registry of those that read register and rules."""
+    """Register a check of the rules against the register."""
     RULES_CHECKS.append(check)
     return check
 
@@ -44,13 +44,13 @@
     return [fault for check in REGISTER_CHECKS for fault in check(data)]
 
 
-def check_rules(data: faults.Data, added: faults.Data) -> list[faults.Fault]:
+def check_rules(data: faults.Data, rules_data: faults.Data) -> list[faults.Fault]:
     """Return all faults between a register and its rules."""
-    return [fault for check in RULES_CHECKS for fault in check(data, added)]
+    return [fault for check in RULES_CHECKS for fault in check(data, rules_data)]
 
 
 def read_entries(data: faults.Data, table: str) -> Iterator[tuple[int, faults.Data]]:
-    """Yield the entries of a list that have keys and values, with their indexes."""
+    """Yield the entries of a list that are mappings, with their indexes."""
     entries = data.get(table)
     for index, entry in enumerate(entries if isinstance(entries, list) else ()):
         if isinstance(entry, dict):
@@ -120,23 +120,23 @@
         for table, key in keys
         for index, entry in read_entries(data, table)
     ]
-    yield from faults.find_bad_addresses(named)
+    yield from faults.find_invalid_addresses(named)
     yield from faults.find_repeated_addresses(named)
 
 
 @on_register
 def _check_key_hashes(data: faults.Data) -> Iterator[faults.Fault]:
-    """Refuse a key of two accounts.
+    """Reject a key that two accounts share.
 
-    A router can't tell whom such a key proves: one account's requests would count
-    against the other's share.
+    A router couldn't tell which account such a key authenticates; requests of one
+    account would count against the share of the other.
     """
     owners: dict[str, str] = {}
     for index, entry in read_entries(data, "accounts"):
-        for place, key_hash in faults.read_texts(entry, "key_hashes"):
+        for key_path, key_hash in faults.read_texts(entry, "key_hashes"):
             if key_hash in owners:
                 yield faults.Fault(
-                    ("accounts", index, *place),
+                    ("accounts", index, *key_path),
                     f"expected a key of one account, found it at "
                     f"{owners[key_hash]!r} too",
                 )
@@ -146,18 +146,20 @@
 @on_register
 def _check_idempotent_paths(data: faults.Data) -> Iterator[faults.Fault]:
     for index, entry in read_entries(data, "services"):
-        for place, path in faults.read_texts(entry, "idempotent_paths"):
+        for key_path, path in faults.read_texts(entry, "idempotent_paths"):
             if not path.startswith("/"):
                 yield faults.Fault(
-                    ("services", index, *place),
+                    ("services", index, *key_path),
                     f"expected a path that begins with '/', found {path!r}",
                 )
 
 
 @on_rules
-def _check_rule_names(data: faults.Data, added: faults.Data) -> Iterator[faults.Fault]:
+def _check_rule_names(
+    data: faults.Data, rules_data: faults.Data
+) -> Iterator[faults.Fault]:
     accounts = get_names(data, "accounts")
-    weights = added.get("weights")
+    weights = rules_data.get("weights")
     for name in weights if isinstance(weights, dict) else ():
         if name not in accounts:
             yield faults.Fault(
@@ -167,26 +169,26 @@
     for key, kind, table in lists:
         known = get_names(data, table)
         seen: set[str] = set()
-        for place, name in faults.read_texts(added, key):
+        for key_path, name in faults.read_texts(rules_data, key):
             if name in seen:
                 yield faults.Fault(
-                    place, f"expected each name once, found {name!r} twice"
+                    key_path, f"expected each name once, found {name!r} twice"
                 )
             elif name not in known:
-                yield faults.Fault(place, _explain_unknown(kind, name, known))
+                yield faults.Fault(key_path, _explain_unknown(kind, name, known))
             seen.add(name)
 
 
 @on_rules
-def _check_something_remains(
-    data: faults.Data, added: faults.Data
+def _check_servers_and_vms_remain(
+    data: faults.Data, rules_data: faults.Data
 ) -> Iterator[faults.Fault]:
-    """Refuse rules that leave nothing to serve with.
+    """Reject rules that retire all servers of a service or stop all VMs.
 
-    With the last server of a service retired, or the last VM stopped, every request
-    would be refused; an operator who means it removes the entries from the register.
+    All requests of the service, or of the whole fleet, would then be refused. Whoever
+    wants that removes the entries from the register.
     """
-    retired = {name for _, name in faults.read_texts(added, "retirements")}
+    retired = {name for _, name in faults.read_texts(rules_data, "retirements")}
     remaining: collections.Counter[str] = collections.Counter()
     for _, entry in read_entries(data, "servers"):
         remaining[faults.get_text(entry, "service")] += (
@@ -200,13 +202,14 @@
                 "retired; keep one or remove the service from the register",
             )
     vms = get_names(data, "vms")
-    if vms and vms <= {name for _, name in faults.read_texts(added, "planned_stops")}:
+    stopped = {name for _, name in faults.read_texts(rules_data, "planned_stops")}
+    if vms and vms <= stopped:
         yield faults.Fault(
             ("planned_stops",), "expected a VM to remain, found all of them here"
         )
 
 
 def _explain_unknown(kind: str, name: str, known: set[str]) -> str:
-    names = ", ".join(sorted(known)[:NAMES_SHOWN]) or "it has none"
-    more = ", ..." if len(known) > NAMES_SHOWN else ""
+    names = ", ".join(sorted(known)[:NAMES_LISTED_MAX]) or "it has none"
+    more = ", ..." if len(known) > NAMES_LISTED_MAX else ""
     return f"expected a {kind} of the register ({names}{more}), found {name!r}"
--- a/celeryspan/faults.py
+++ b/celeryspan/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a file's values, and the checks of addresses that all files share."""
+"""Faults in the values of a file, and the address checks that all files share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 PORT_MAX = 65535
 
 Data = dict[str, Any]
-Place = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 
 class Fault(NamedTuple):
-    """One fault: the path of keys and indexes to it, and what is wrong."""
+    """An invalid value: the path of keys and indexes to it, and a message."""
 
-    place: Place
+    key_path: KeyPath
     message: str
 
 
@@ -29,11 +29,11 @@
         for key in ("caller_address", "peer_address", "store_address")
     ]
     peers = list(read_texts(data, "peers"))
-    return [*find_repeated_addresses(own), *find_bad_addresses([*own, *peers])]
+    return [*find_repeated_addresses(own), *find_invalid_addresses([*own, *peers])]
 
 
-def read_texts(data: Data, key: str) -> Iterator[tuple[Place, str]]:
-    """Yield the texts of a list, with their places."""
+def read_texts(data: Data, key: str) -> Iterator[tuple[KeyPath, str]]:
+    """Yield the strings of a list with their key paths."""
     texts = data.get(key)
     for index, text in enumerate(texts if isinstance(texts, list) else ()):
         if isinstance(text, str):
@@ -41,17 +41,17 @@
 
 
 def get_text(entry: Data, key: str) -> str:
-    """Return a text, or nothing where there is none."""
+    """Return the string under a key, or an empty one if there is none."""
     value = entry.get(key)
     return value if isinstance(value, str) else ""
 
 
-def find_bad_addresses(named: Iterable[tuple[Place, str]]) -> Iterator[Fault]:
-    """Yield a fault for each text that looks like an address and is none."""
-    for place, text in named:
+def find_invalid_addresses(named: Iterable[tuple[KeyPath, str]]) -> Iterator[Fault]:
+    """Yield a fault for each text that has the form of an address but is invalid."""
+    for key_path, text in named:
         if re.match(f"^{patterns.ADDRESS}$", text) and not _is_address(text):
             yield Fault(
-                place,
+                key_path,
                 f"expected an IP number and a port of 1 to {PORT_MAX}, found {text!r}",
             )
 
@@ -65,13 +65,13 @@
     return 0 < address.port <= PORT_MAX
 
 
-def find_repeated_addresses(named: Iterable[tuple[Place, str]]) -> Iterator[Fault]:
-    """Yield a fault for each address that stands a second time."""
+def find_repeated_addresses(named: Iterable[tuple[KeyPath, str]]) -> Iterator[Fault]:
+    """Yield a fault for each repeated address."""
     first: dict[str, str] = {}
-    for place, text in named:
+    for key_path, text in named:
         if text in first:
             yield Fault(
-                place, f"expected an address of its own, found that of {first[text]}"
+                key_path, f"expected an address of its own, found that of {first[text]}"
             )
         elif text:
-            first[text] = ".".join(str(part) for part in place)
+            first[text] = ".".join(str(part) for part in key_path)
--- a/celeryspan/fields.py
+++ b/celeryspan/fields.py
@@ -1,4 +1,4 @@
-"""Types of values in operators' files, the base of their models, and their faults."""
+"""Field types, base model and validation of operators' files."""
 
 from __future__ import annotations
 
@@ -31,30 +31,31 @@
     "too_long": "a list of {max_length} or fewer",
     "string_pattern_mismatch": "text like {pattern}",
 }
-"""What a kind of pydantic error expected; the context of the error fills the braces."""
+"""Expected value by type of pydantic error, formatted with the error's context."""
 
 
 class Model(pydantic.BaseModel):
-    """Base of operators' input: unknown keys are refused, values are frozen."""
+    """Base of the models of operators' files: immutable, unknown keys are rejected."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
 @validators.register(pydantic.BaseModel)
 def validate(model: type[Model], values: faults.Data) -> validators.Result:
-    """Return the values as a model, or None, and their faults."""
+    """Return the values as a model, or None if invalid, and their faults."""
     text = json.dumps(values, default=str)
     try:
         return model.model_validate_json(text, strict=True), []
     except pydantic.ValidationError as error:
-        found = error.errors(include_url=False)
+        details = error.errors(include_url=False)
         return None, [
-            faults.Fault(_find_place(item["loc"]), _explain(item)) for item in found
+            faults.Fault(_make_key_path(item["loc"]), _explain(item))
+            for item in details
         ]
 
 
-def _find_place(location: tuple[str | int, ...]) -> faults.Place:
-    """Return the place in the file; pydantic adds ``[key]`` for the key of a dict."""
+def _make_key_path(location: tuple[str | int, ...]) -> faults.KeyPath:
+    """Return the key path in the file, without pydantic's ``[key]`` for dict keys."""
     return tuple(part for part in location if part != "[key]")
 
 
--- a/celeryspan/ids.py
+++ b/celeryspan/ids.py
@@ -1,4 +1,4 @@
-"""Distinct types for the identifiers that pass between modules."""
+"""Distinct types for the identifiers that modules exchange."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """A host and a port."""
 
     host: str
     port: int
@@ -27,7 +27,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port``.
+        """Parse ``host:port``.
 
         Raises
         ------
--- a/celeryspan/patterns.py
+++ b/celeryspan/patterns.py
@@ -1,4 +1,4 @@
-"""Patterns of texts in input, and what each of them is called in an error."""
+"""Patterns that input must match, and how error messages describe them."""
 
 from __future__ import annotations
 
--- a/celeryspan/structs.py
+++ b/celeryspan/structs.py
@@ -1,6 +1,6 @@
-"""Checks the values of settings that are :class:`msgspec.Struct`, all faults at once.
+"""Validates settings that are a :class:`msgspec.Struct` and reports all faults at once.
 
-msgspec stops at the first fault of a value; each key is converted by itself here.
+msgspec stops at the first invalid value, so each key is converted separately.
 """
 
 from __future__ import annotations
@@ -26,37 +26,40 @@
     "array": "a list",
     "object": "keys with values",
 }
-"""What msgspec calls a type, and what an operator does."""
+"""Type names in error messages, by the names that msgspec uses."""
 
 BOUNDS = {">": "above", ">=": "of at least", "<": "below", "<=": "of at most"}
 
-PLACE = re.compile(r" - at `\$(.*)`$")
-KIND = re.compile(r"^Expected `(\w+)(?: \| \w+)*`(.*)$")
+PATH_SUFFIX = re.compile(r" - at `\$(.*)`$")
+TYPE_MESSAGE = re.compile(r"^Expected `(\w+)(?: \| \w+)*`(.*)$")
 LENGTH = re.compile(r" of length (>=|<=) (\d+)")
 BOUND = re.compile(r" (>=|<=|>|<) (\S+)")
 
 
 @validators.register(msgspec.Struct)
 def validate(model: type[msgspec.Struct], values: faults.Data) -> validators.Result:
-    """Return the values as a struct, or None, and their faults in its order."""
+    """Return the values as a struct, or None if invalid, and their faults.
+
+    Faults are in the order of the struct's fields; unknown keys come last.
+    """
     fields = {field.name: field for field in msgspec.structs.fields(model)}
-    found: dict[str, object] = {}
-    wrong: list[faults.Fault] = []
+    converted: dict[str, object] = {}
+    invalid: list[faults.Fault] = []
     for name, field in fields.items():
         if name not in values:
             if field.required:
-                wrong.append(faults.Fault((name,), validators.explain_missing()))
+                invalid.append(faults.Fault((name,), validators.explain_missing()))
             continue
         try:
-            found[name] = msgspec.convert(values[name], field.type)
+            converted[name] = msgspec.convert(values[name], field.type)
         except msgspec.ValidationError as error:
-            wrong.append(_explain(name, values[name], str(error)))
+            invalid.append(_explain(name, values[name], str(error)))
             continue
-        if isinstance(found[name], float) and not math.isfinite(found[name]):
+        if isinstance(converted[name], float) and not math.isfinite(converted[name]):
             message = f"expected a finite number, found {values[name]}"
-            wrong.append(faults.Fault((name,), message))
-    wrong += _find_unknown(values, fields)
-    return (None if wrong else model(**found)), wrong
+            invalid.append(faults.Fault((name,), message))
+    invalid += _find_unknown(values, fields)
+    return (None if invalid else model(**converted)), invalid
 
 
 def _find_unknown(values: faults.Data, fields: dict) -> Iterator[faults.Fault]:
@@ -66,18 +69,19 @@
 
 
 def _explain(name: str, value: object, message: str) -> faults.Fault:
-    """Return the fault that a message of msgspec tells."""
-    at = PLACE.search(message)
-    indexes = re.findall(r"\[(\d+)\]", at.group(1)) if at else []
-    place: tuple[str | int, ...] = (name, *map(int, indexes))
-    for index in place[1:]:
+    """Return the fault that a message of msgspec describes."""
+    path = PATH_SUFFIX.search(message)
+    indexes = re.findall(r"\[(\d+)\]", path.group(1)) if path else []
+    key_path: faults.KeyPath = (name, *map(int, indexes))
+    for index in key_path[1:]:
         value = value[index]
-    expected = _describe(PLACE.sub("", message))
-    return faults.Fault(place, f"expected {expected}, found {validators.quote(value)}")
+    expected = _describe(PATH_SUFFIX.sub("", message))
+    message = f"expected {expected}, found {validators.quote(value)}"
+    return faults.Fault(key_path, message)
 
 
 def _describe(message: str) -> str:
-    kind = KIND.match(message)
+    kind = TYPE_MESSAGE.match(message)
     if kind is None:
         return message
     name, rest = TYPES.get(kind.group(1), kind.group(1)), kind.group(2)
--- a/celeryspan/validators.py
+++ b/celeryspan/validators.py
@@ -1,8 +1,8 @@
-"""How the values of a file become a typed value: a registry by the type's base.
+"""Registry of the validators that turn the values of a file into a typed value.
 
-Operators' files are checked by pydantic, a router's own settings by msgspec: a router
-on the users' platform, whose memory is dear and which must start soon, then does
-without importing the first.
+Operators' files are validated with pydantic, the settings of a router with msgspec. A
+router on the users' platform, where memory is scarce and startup must be fast, thus
+avoids importing pydantic.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from celeryspan import faults
 
-FOUND_CHARACTERS_MAX = 60
-"""What was found is quoted up to this length, so that each fault stays one line."""
+QUOTED_CHARACTERS_MAX = 60
+"""Maximum length of a quoted value, so that each fault stays on one line."""
 
 Result = tuple[Any, list[faults.Fault]]
 Validator = Callable[[type, faults.Data], Result]
@@ -23,7 +23,7 @@
 
 
 def register(base: type) -> Callable[[Validator], Validator]:
-    """Put the validator of all types with a base into the registry."""
+    """Register a validator for all subclasses of a type."""
 
     def decorate(validator: Validator) -> Validator:
         VALIDATORS[base] = validator
@@ -33,24 +33,24 @@
 
 
 def validate(model: type, values: faults.Data) -> Result:
-    """Return the values as a model, or None, and all their faults."""
+    """Return the values as a model, or None if invalid, and all their faults."""
     base = next(base for base in VALIDATORS if issubclass(model, base))
     return VALIDATORS[base](model, values)
 
 
 def quote(value: object) -> str:
-    """Return a value as an error shows it."""
+    """Return a value as an error message shows it."""
     text = json.dumps(value, default=str, ensure_ascii=False)
-    if len(text) <= FOUND_CHARACTERS_MAX:
+    if len(text) <= QUOTED_CHARACTERS_MAX:
         return text
-    return text[: FOUND_CHARACTERS_MAX - 3] + "..."
+    return text[: QUOTED_CHARACTERS_MAX - 3] + "..."
 
 
 def explain_missing() -> str:
-    """Return what is wrong with a key that is not there."""
+    """Return the message for a missing key."""
     return "expected this key, found nothing"
 
 
 def explain_unknown(value: object) -> str:
-    """Return what is wrong with a key that nobody knows."""
+    """Return the message for an unknown key."""
     return f"expected only known keys, found this one with {quote(value)}"
--- a/celeryspan/yamlfiles.py
+++ b/celeryspan/yamlfiles.py
@@ -1,4 +1,4 @@
-"""Reads values from YAML files; names all faults of a file at once."""
+"""Reads values from YAML files and reports all faults of a file at once."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 from celeryspan import errors, faults, validators
 
 FILE_BYTES_MAX = 8 << 20
-"""Largest file that is read; the register of 10,000 servers has about 1.5 MB."""
+"""Maximum size of a file; a register of 10,000 servers has about 1.5 MB."""
 
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-"""The parser in C where there is one: the register of 10,000 servers takes 1.9 s of a
-core to check with it, 4.8 s without."""
+"""The C parser if available: checking a register of 10,000 servers takes 1.9 s of CPU
+time with it and 4.8 s without."""
 
 ModelType = TypeVar("ModelType")
-Place = faults.Place
+KeyPath = faults.KeyPath
 
 
 class Document:
-    """One YAML file: its values, and where each of them stands.
+    """A YAML file: its values and their line numbers.
 
     Parameters
     ----------
     path : str or Path
-        The file; its name begins each fault.
+        The file; each fault begins with its name.
 
     Attributes
     ----------
     values : object
-        What the file holds, or None.
+        The parsed values, or None.
     faults : list of InputError
-        What is wrong so far; :meth:`validate` and checks add to them.
+        Faults found so far; :meth:`validate` and :meth:`check` add to them.
 
     Raises
     ------
     ExceptionGroup
-        Of the faults, if the values can't be read.
+        Of the faults, if the file can't be parsed.
     """
 
     def __init__(self, path: str | pathlib.Path) -> None:
         self.path = str(path)
         self.values: Any = None
         self.faults: list[errors.InputError] = []
-        self._lines: dict[Place, int] = {}
+        self._lines: dict[KeyPath, int] = {}
         self._visited: set[int] = set()
         self._readable = True
         node = self._compose(_read_text(self.path))
@@ -56,23 +56,23 @@
         if not self._readable:
             raise_faults(self.path, self.faults)
 
-    def add_fault(self, place: Place, message: str) -> None:
-        """Note a fault with its file, line and key path."""
-        known = place
-        while known and known not in self._lines:
-            known = known[:-1]
-        line = self._lines.get(known, 1)
+    def add_fault(self, key_path: KeyPath, message: str) -> None:
+        """Add a fault with its file, line and key path."""
+        ancestor = key_path
+        while ancestor and ancestor not in self._lines:
+            ancestor = ancestor[:-1]
+        line = self._lines.get(ancestor, 1)
         self.faults.append(
             errors.InputError(
-                message, key=self.name_place(place), peer=f"{self.path}:{line}"
+                message, key=self.format_key_path(key_path), peer=f"{self.path}:{line}"
             )
         )
 
-    def name_place(self, place: Place) -> str:
-        """Return a key path in which entries of lists also have their names."""
+    def format_key_path(self, key_path: KeyPath) -> str:
+        """Return a key path as text; entries of lists are shown with their names."""
         text, value = "", self.values
-        for part in place:
-            value = _step_into(value, part)
+        for part in key_path:
+            value = _get_child(value, part)
             if isinstance(part, int):
                 name = value.get("name") if isinstance(value, dict) else None
                 text += f"[{part} {name}]" if isinstance(name, str) else f"[{part}]"
@@ -81,7 +81,7 @@
         return text
 
     def validate(self, model: type[ModelType]) -> ModelType | None:
-        """Return the values as a model, or None after noting the faults."""
+        """Return the values as a model, or None after adding their faults."""
         if not isinstance(self.values, dict):
             found = (
                 "an empty file"
@@ -95,52 +95,52 @@
         return values
 
     def check(self, found: list[faults.Fault]) -> None:
-        """Note the faults that checks have found."""
+        """Add the faults that checks have found."""
         for fault in found:
-            self.add_fault(fault.place, fault.message)
+            self.add_fault(fault.key_path, fault.message)
 
     def get_data(self) -> faults.Data:
-        """Return the values for the checks; none if they are not keyed."""
+        """Return the values for the checks; empty if the file is not a mapping."""
         return self.values if isinstance(self.values, dict) else {}
 
     def _compose(self, text: str) -> yaml.Node | None:
         try:
             return yaml.compose(text, Loader=LOADER)
         except (yaml.YAMLError, RecursionError) as error:
-            self._note_syntax(error)
+            self._add_syntax_fault(error)
             return None
 
     def _construct(self, node: yaml.Node) -> object:
         try:
             return yaml.SafeLoader("").construct_document(node)
         except (yaml.YAMLError, RecursionError, ValueError) as error:
-            self._note_syntax(error)
+            self._add_syntax_fault(error)
             return None
 
-    def _note_syntax(self, error: Exception) -> None:
+    def _add_syntax_fault(self, error: Exception) -> None:
         mark = getattr(error, "problem_mark", None)
         self._lines[()] = mark.line + 1 if mark else 1
         self._readable = False
         problem = getattr(error, "problem", None) or str(error)
         self.add_fault((), f"expected plain YAML, found a fault: {problem}")
 
-    def _visit(self, node: yaml.Node, place: Place) -> None:
-        """Note lines, and refuse keys that stand twice and values shared by aliases.
+    def _visit(self, node: yaml.Node, key_path: KeyPath) -> None:
+        """Record line numbers, and reject duplicate keys and aliases.
 
-        A plain YAML loader keeps the last of two equal keys in silence: a weight or a
-        retirement that an operator reads in the file would not be in force. A value
-        that aliases repeat may grow beyond the memory.
+        A plain YAML loader silently keeps the last of two equal keys, so a weight or a
+        retirement that an operator sees in the file might not be in force. Nested
+        aliases can expand a small file until memory is exhausted.
         """
-        self._lines[place] = node.start_mark.line + 1
+        self._lines[key_path] = node.start_mark.line + 1
         if isinstance(node, yaml.SequenceNode):
             for index, item in enumerate(node.value):
-                self._visit_once(item, (*place, index))
+                self._visit_once(item, (*key_path, index))
         if not isinstance(node, yaml.MappingNode):
             return
         seen: dict[str, int] = {}
         for key_node, value_node in node.value:
             key = str(key_node.value)
-            inner = (*place, key)
+            inner = (*key_path, key)
             line = key_node.start_mark.line + 1
             if key in seen:
                 self._lines[inner] = line
@@ -151,17 +151,17 @@
             self._visit_once(value_node, inner)
             self._lines[inner] = line
 
-    def _visit_once(self, node: yaml.Node, place: Place) -> None:
+    def _visit_once(self, node: yaml.Node, key_path: KeyPath) -> None:
         if id(node) not in self._visited:
             self._visited.add(id(node))
-            self._visit(node, place)
+            self._visit(node, key_path)
             return
         self._readable = False
-        self.add_fault(place, "expected a value written out, found an alias")
+        self.add_fault(key_path, "expected a value written out, found an alias")
 
 
 def read_file(path: str | pathlib.Path, model: type[ModelType]) -> ModelType:
-    """Return the settings in a file as a model of :class:`settings.Settings`.
+    """Return the settings in a file as an instance of a settings model.
 
     Raises
     ------
@@ -177,14 +177,14 @@
 
 
 def list_faults(error: BaseException) -> list[str]:
-    """Return one line for each fault in an error or a group of errors."""
+    """Return one line for each fault in an error or an exception group."""
     if isinstance(error, BaseExceptionGroup):
         return [line for inner in error.exceptions for line in list_faults(inner)]
     return [" ".join(str(error).split())]
 
 
 def raise_faults(subject: str, faults: list[Exception]) -> None:
-    """Raise all faults as one group, if there are any."""
+    """Raise all faults as one exception group, if there are any."""
     if faults:
         raise ExceptionGroup(f"{subject}: {len(faults)} fault(s)", faults)
 
@@ -204,7 +204,7 @@
     raise ExceptionGroup(f"{path}: 1 fault(s)", [fault])
 
 
-def _step_into(value: object, part: str | int) -> object:
+def _get_child(value: object, part: str | int) -> object:
     if isinstance(value, dict):
         return value.get(part)
     if isinstance(value, list) and isinstance(part, int) and part < len(value):
