--- a/celeryspan/configuration.py
+++ b/celeryspan/configuration.py
@@ -1,4 +1,4 @@
-"""One accepted configuration, indexed for the lookups of a router."""
+"""An accepted configuration, indexed for the lookups of a router."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 DEFAULT_WEIGHT = 1.0
 
-# The field of this name hides a method of pydantic's metaclass that nothing calls; the
-# warning would stand before the output of each command.
+# The field "register" shadows a method of pydantic's metaclass that is never called.
+# Without the filter, every command would print a warning before its output.
 warnings.filterwarnings("ignore", 'Field name "register"', UserWarning)
 
-# Inside the class the fields hide the modules of the same names.
+# Aliases, because the fields of the class shadow the modules of the same names.
 _Register = register.Register
 _Rules = rules.Rules
 
 
 class Configuration(fields.Model):
-    """Register and rules of one generation.
+    """The register and rules of one generation.
 
     Attributes
     ----------
     generation : int
-        Number of the configuration; a router applies only a higher one.
+        Number of the configuration; a router only applies a higher one than its own.
     author : str
-        Who applied it, for the loser of a race to read.
+        Who applied it; shown to an operator whose concurrent change was rejected.
     placements : dict
-        Service of each model server that the routers have moved away from the
-        service that the register gives it.
+        Current service of each model server that the routers have moved to another
+        service than the register assigns to it.
     """
 
     generation: int = pydantic.Field(ge=1)
@@ -49,15 +49,15 @@
 
     @functools.cached_property
     def servers(self) -> dict[ids.ServerId, register.Server]:
-        """Backend servers by name, without the retired ones, where they are placed."""
+        """Backend servers by name, without retired ones, with their current service."""
         retired = set(self.rules.retirements)
         return {
-            ids.ServerId(item.name): self._place(item)
+            ids.ServerId(item.name): self._apply_placement(item)
             for item in self.register.servers
             if item.name not in retired
         }
 
-    def _place(self, server: register.Server) -> register.Server:
+    def _apply_placement(self, server: register.Server) -> register.Server:
         service = self.placements.get(server.name, server.service)
         if service == server.service or service not in self.services:
             return server
@@ -76,10 +76,10 @@
         return self.rules.weights.get(account, DEFAULT_WEIGHT)
 
     def find_account(self, key: str) -> ids.AccountId | None:
-        """Return the client account that a key proves, or None.
+        """Return the client account that a key authenticates, or None.
 
-        Every stored hash is compared, each in constant time, so that the time taken
-        tells nothing about how much of a guessed key is right.
+        Compares every stored hash in constant time, so that the response time reveals
+        nothing about how much of a guessed key is correct.
         """
         digest = hashlib.sha256(key.encode()).hexdigest()
         found = None
--- a/celeryspan/dispatch.py
+++ b/celeryspan/dispatch.py
@@ -1,7 +1,7 @@
-"""The seam between requests and scheduling: ask for a slot, use it, give it back.
+"""Interface between request handling and scheduling: acquire, use and release slots.
 
-The service named ``dispatch`` implements :class:`Dispatcher`. What handles requests
-knows nothing of homes, grants or counters; what schedules knows nothing of HTTP.
+The service named ``dispatch`` implements :class:`Dispatcher`. Request handling is
+independent of homes, grants and counters, and scheduling is independent of HTTP.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Ending(enum.Enum):
-    """How the use of a slot ended, as far as the backend server is concerned."""
+    """How the use of a slot ended, from the perspective of the backend server."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -25,21 +25,21 @@
 
 
 class Work(msgspec.Struct, frozen=True):
-    """A request as far as scheduling needs to know it.
+    """The properties of a request that scheduling needs.
 
     Attributes
     ----------
     hint : float or None
-        Rough cost known beforehand, in cost units.
+        Estimated cost, in cost units.
     deadline : float
-        Monotonic time after which nobody waits for the answer, in seconds.
+        Monotonic time after which the caller no longer waits, in seconds.
     prefix : tuple of int
         Chained hashes of the prompt's blocks, longest prefix last; empty for plain
         services.
     excluded : frozenset of ServerId
-        Backend servers that have failed this request already.
+        Backend servers on which this request has already failed.
     size : int
-        Bytes of memory that the request takes while it waits.
+        Memory that the request occupies while it waits, in bytes.
     """
 
     request: ids.RequestId
@@ -53,12 +53,12 @@
 
 
 class Slot(Protocol):
-    """Leave to send one request to one backend server."""
+    """Permission to send one request to one backend server."""
 
     server: ids.ServerId
 
     def use(self) -> None:
-        """Say that the first byte is about to leave.
+        """Mark the slot as used, just before the first byte is sent.
 
         Raises
         ------
@@ -67,17 +67,17 @@
         """
 
     def progress(self, units: float) -> None:
-        """Count service given since the last call, in cost units."""
+        """Add the service received since the last call, in cost units."""
 
     def note_cached(self, blocks: int) -> None:
-        """Note how many blocks of the prompt the server had cached."""
+        """Record how many blocks of the prompt the server had cached."""
 
     def end(self, ending: Ending, cost: float) -> None:
-        """Give the slot back; ``cost`` is the true cost of the request."""
+        """Release the slot; ``cost`` is the actual cost of the request."""
 
 
 class Dispatcher(Protocol):
-    """What the ``dispatch`` service offers."""
+    """Interface of the ``dispatch`` service."""
 
     def acquire(self, work: Work) -> Slot:
         """Wait for a slot.
@@ -89,4 +89,4 @@
         """
 
     def cancel(self, request: ids.RequestId) -> None:
-        """Take a waiting request out of its queue; its caller has left."""
+        """Remove a waiting request from its queue because its caller has left."""
--- a/celeryspan/documents.py
+++ b/celeryspan/documents.py
@@ -1,10 +1,10 @@
-"""How a configuration is kept: an index object and chunks named by their content.
+"""Stored form of a configuration: an index object and content-addressed chunks.
 
-The body is compressed JSON, cut into chunks that each fit into one value of the
-object API. A chunk's key is the hash of its content, so that it is written once and
-never changed; the index object names the generation and its chunks and is the only
-one to be replaced, last. A reader that holds an index therefore finds exactly the
-chunks that belong together, whatever is written meanwhile.
+The body is compressed JSON, split into chunks that each fit into one value of the
+object API. The key of a chunk is the hash of its content, so a chunk is written once
+and never changes. The index object lists the generation and its chunks; it is the only
+object that is replaced, and it is written last. A reader that has an index therefore
+always finds the matching chunks, even during concurrent writes.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 CHUNK_PREFIX = "configuration/chunks/"
 
 CHUNK_BYTES = 786_432
-"""Three quarters of what the object API takes, in bytes."""
+"""Three quarters of the largest value that the object API accepts."""
 
 BODY_BYTES_MAX = 67_108_864
-"""Greatest body after decompression, in bytes: about forty times the register of
-10,000 servers; a small hostile value can't fill the memory."""
+"""Maximum size of a decompressed body, about forty times that of a register of 10,000
+servers. Keeps a small malicious value from exhausting memory."""
 
 
 class Index(msgspec.Struct, frozen=True):
@@ -35,12 +35,12 @@
     Attributes
     ----------
     author : str
-        Who wrote the generation.
+        The author of the generation.
     write : str
-        Random name of the writing, by which a writer whose answer was lost
-        recognises its own.
+        Random id of the write, by which a writer that lost the answer recognizes its
+        own index.
     chunks : tuple of str
-        Keys of the chunks in order.
+        Keys of the chunks, in order.
     """
 
     generation: ids.Generation
@@ -49,17 +49,17 @@
     chunks: tuple[str, ...]
 
     def encode(self) -> bytes:
-        """Return the value of the index object."""
+        """Serialize to the value of the index object."""
         return json.dumps(msgspec.structs.asdict(self)).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Index:
-        """Read the value of an index object.
+        """Parse the value of an index object.
 
         Raises
         ------
         errors.InputError
-            If it is not an index.
+            If the value is not a valid index.
         """
         try:
             fields = json.loads(value)
@@ -76,23 +76,23 @@
 
 
 def pack(value: configuration.Configuration) -> bytes:
-    """Return the compressed body of a configuration."""
+    """Serialize a configuration to a compressed body."""
     return zlib.compress(value.model_dump_json().encode(), level=6)
 
 
 def unpack(body: bytes) -> configuration.Configuration:
-    """Read a compressed body.
+    """Parse a compressed body.
 
     Raises
     ------
     errors.InputError
-        If it is damaged, too large or not a configuration.
+        If it is corrupt, too large or not a configuration.
     """
     try:
-        reader = zlib.decompressobj()
-        text = reader.decompress(body, BODY_BYTES_MAX)
-        if reader.unconsumed_tail or not reader.eof:
-            raise ValueError("longer than allowed, or cut short")
+        decompressor = zlib.decompressobj()
+        text = decompressor.decompress(body, BODY_BYTES_MAX)
+        if decompressor.unconsumed_tail or not decompressor.eof:
+            raise ValueError(f"truncated, or longer than {BODY_BYTES_MAX} bytes")
         return configuration.Configuration.model_validate_json(text)
     except (zlib.error, ValueError, pydantic.ValidationError) as error:
         raise errors.InputError(
@@ -101,21 +101,21 @@
 
 
 def split(body: bytes) -> dict[str, bytes]:
-    """Cut a body into chunks by key, in order."""
+    """Split a body into chunks; return them by key, in order."""
     chunks = {}
     for start in range(0, len(body), CHUNK_BYTES):
-        piece = body[start : start + CHUNK_BYTES]
-        chunks[CHUNK_PREFIX + hashlib.sha256(piece).hexdigest()] = piece
+        chunk = body[start : start + CHUNK_BYTES]
+        chunks[CHUNK_PREFIX + hashlib.sha256(chunk).hexdigest()] = chunk
     return chunks
 
 
 def join(index: Index, chunks: dict[str, bytes]) -> bytes:
-    """Put the chunks of an index together.
+    """Join the chunks of an index into a body.
 
     Raises
     ------
     errors.InputError
-        If a chunk's content does not match its key.
+        If the content of a chunk does not match its key.
     """
     for key in index.chunks:
         digest = hashlib.sha256(chunks[key]).hexdigest()
--- a/celeryspan/errors.py
+++ b/celeryspan/errors.py
@@ -1,4 +1,4 @@
-"""Errors that carry the step and the peer at which they arose."""
+"""Exceptions that record the step and the peer at which they occurred."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class CeleryspanError(Exception):
-    """Base of all errors raised by this package.
+    """Base class of all exceptions raised by this package.
 
     Parameters
     ----------
     message : str
-        What was expected, what was found and what to do.
+        What was expected, what was found and how to fix it.
     step : str
         The step that failed, such as ``"connect"`` or ``"read answer"``.
     peer : str
-        The other end (router, backend server, store, file), or ``""``.
+        The router, backend server, store or file involved, or ``""``.
     """
 
     def __init__(self, message: str, *, step: str = "", peer: str = "") -> None:
@@ -25,17 +25,17 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        place = " ".join(part for part in (self.step, self.peer) if part)
-        return f"{place}: {self.message}" if place else self.message
+        context = " ".join(part for part in (self.step, self.peer) if part)
+        return f"{context}: {self.message}" if context else self.message
 
 
 class InputError(CeleryspanError):
-    """A file or a flag holds something that is not valid.
+    """A file or a flag contains an invalid value.
 
     Parameters
     ----------
     key : str
-        Path of the key inside the file, such as ``"accounts.2.weight"``.
+        Path of the key in the file, such as ``"accounts.2.weight"``.
     """
 
     def __init__(self, message: str, *, key: str = "", peer: str = "") -> None:
@@ -43,21 +43,21 @@
         self.key = key
 
     def __str__(self) -> str:
-        place = ": ".join(part for part in (self.peer, self.key) if part)
-        return f"{place}: {self.message}" if place else self.message
+        context = ": ".join(part for part in (self.peer, self.key) if part)
+        return f"{context}: {self.message}" if context else self.message
 
 
 class RequestError(CeleryspanError):
-    """A request that ends without a whole answer.
+    """A request ended without a complete answer.
 
     Parameters
     ----------
     code : str
         Stable machine-readable name, such as ``"queue-full"``.
     status : int
-        HTTP status towards the caller.
+        HTTP status returned to the caller.
     retry_after : float or None
-        Seconds after which a repeat is worth while.
+        Time after which a retry may succeed, in seconds.
     """
 
     outcome = states.Outcome.UNKNOWN
@@ -79,53 +79,53 @@
 
 
 class NotRun(RequestError):
-    """No byte of the request has reached a backend server, and none will."""
+    """No byte of the request has reached a backend server, and none will be sent."""
 
     outcome = states.Outcome.NOT_RUN
 
 
 class OutcomeUnknown(RequestError):
-    """Bytes of the request may have left; whether it ran is not known."""
+    """Bytes of the request may have been sent; whether it ran is unknown."""
 
     outcome = states.Outcome.UNKNOWN
 
 
 class AnswerUnavailable(RequestError):
-    """The request ran; its answer is not whole, or no longer kept."""
+    """The request ran, but its answer is incomplete or no longer stored."""
 
     outcome = states.Outcome.RAN
 
 
 class StoreError(CeleryspanError):
-    """The object API refused a call or did not answer it."""
+    """The object API rejected a call or did not answer it."""
 
 
 class NotFound(StoreError):
-    """The object API holds no value under this key."""
+    """The object API has no value under this key."""
 
 
 class Conflict(StoreError):
-    """A conditional write lost against another writer; it took no effect."""
+    """A conditional write lost to another writer and had no effect."""
 
 
 class StoreUnavailable(StoreError):
-    """No answer from the object API; a write may or may not have taken effect."""
+    """The object API did not answer; a write may or may not have taken effect."""
 
 
 class StoreNotAsked(StoreUnavailable):
-    """The call was held back here, so that it certainly took no effect."""
+    """The client did not send the call, so it certainly had no effect."""
 
 
 class StoreRefused(StoreUnavailable):
-    """The object API answered that it did nothing; try again later."""
+    """The object API answered that it did nothing; the call may be retried later."""
 
 
 class HistoryGone(StoreError):
-    """The object API no longer has the changes that a watch asked for."""
+    """The object API no longer has the changes that a watch requested."""
 
 
 class LinkError(CeleryspanError):
-    """A link to another router failed, or the peer could not prove itself."""
+    """A link to another router failed, or the peer failed to authenticate."""
 
 
 class StartError(CeleryspanError):
--- a/celeryspan/gateway/followers.py
+++ b/celeryspan/gateway/followers.py
@@ -183,10 +183,10 @@
             changes = tuple(
                 storedobjects.Change(found, False) for found in listing.objects
             )
-            batch = storelog.Batch(0, listing.at, changes, is_whole=True)
+            batch = storelog.Batch(0, listing.revision, changes, is_whole=True)
         else:
             found = self._client.watch(self.kind, at, relays.WATCH_SECONDS)
-            batch = storelog.Batch(at, found.at, found.changes)
+            batch = storelog.Batch(at, found.revision, found.changes)
         self._note_answer()
         self._lists = False
         self._take(batch)
--- a/celeryspan/inputs.py
+++ b/celeryspan/inputs.py
@@ -1,4 +1,4 @@
-"""Read settings, register and rules; all faults of the files are named at once."""
+"""Reads settings, register and rules, and reports all faults of the files at once."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def read_register_and_rules(
     register_path: str | pathlib.Path, rules_path: str | pathlib.Path
 ) -> tuple[register.Register, rules.Rules]:
-    """Return register and rules, each valid and both fitting together.
+    """Return register and rules after checking each of them and both together.
 
     Raises
     ------
@@ -39,11 +39,13 @@
     if unreadable:
         found = [fault for document in documents for fault in document.faults]
         yamlfiles.raise_faults(subject, [*unreadable, *found])
-    entries, added = documents
-    valid_register = entries.validate(register.Register)
-    entries.check(checks.check_register(entries.get_data()))
-    valid_rules = added.validate(rules.Rules)
-    added.check(checks.check_rules(entries.get_data(), added.get_data()))
-    yamlfiles.raise_faults(subject, entries.faults + added.faults)
+    register_file, rules_file = documents
+    valid_register = register_file.validate(register.Register)
+    register_file.check(checks.check_register(register_file.get_data()))
+    valid_rules = rules_file.validate(rules.Rules)
+    rules_file.check(
+        checks.check_rules(register_file.get_data(), rules_file.get_data())
+    )
+    yamlfiles.raise_faults(subject, register_file.faults + rules_file.faults)
     assert valid_register is not None and valid_rules is not None
     return valid_register, valid_rules
--- a/celeryspan/register.py
+++ b/celeryspan/register.py
@@ -1,4 +1,4 @@
-"""The register: VMs, services, data centres and client accounts of a firm."""
+"""Models of the register: a firm's data centres, VMs, services and client accounts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class DataCentre(fields.Model):
-    """A data centre and the region that it belongs to."""
+    """A data centre and its region."""
 
     name: fields.Name
     region: fields.Name
@@ -26,20 +26,20 @@
 
 
 class Service(fields.Model):
-    """A service that callers name in their requests.
+    """A service, addressed by its name in the requests of callers.
 
     Attributes
     ----------
     idempotent_paths : tuple of str
-        Prefixes of paths whose calls may be repeated whatever their method.
+        Prefixes of paths whose requests may be repeated regardless of their method.
     cost_hint : float
-        Typical cost of a request in cost units: tokens of a model, milliseconds of a
-        plain service.
+        Typical cost of a request in cost units: tokens for a model, milliseconds for
+        a plain service.
     model, version, role : str
-        What its model engines are ordered to have loaded and to be; the empty text
-        leaves them as they are.
+        Model, version and role that its model engines are ordered to assume; an empty
+        string leaves them unchanged.
     adapters : tuple of str
-        Adapters that go with the model.
+        Adapters to load with the model.
     """
 
     name: fields.Name
@@ -58,9 +58,9 @@
     Attributes
     ----------
     slots : int
-        Greatest number of requests it is ever given at once.
+        Maximum number of requests that it is sent concurrently.
     checks_fence : bool
-        Whether it refuses orders with an old fencing number.
+        Whether it rejects orders with an outdated fencing number.
     """
 
     name: fields.Name
@@ -72,12 +72,12 @@
 
 
 class Account(fields.Model):
-    """A client account and the hashes of the keys that prove it.
+    """A client account and the hashes of the keys that authenticate it.
 
     Attributes
     ----------
     key_hashes : tuple of str
-        SHA-256 of each valid key, in hexadecimal; two while keys are rotated.
+        SHA-256 of each valid key, in hexadecimal; two during a key rotation.
     """
 
     name: fields.Name
@@ -85,7 +85,7 @@
 
 
 class Register(fields.Model):
-    """The whole register of one firm."""
+    """The register of one firm."""
 
     firm: fields.Name
     data_centres: tuple[DataCentre, ...]
--- a/celeryspan/rules.py
+++ b/celeryspan/rules.py
@@ -1,4 +1,4 @@
-"""The rules that operators put on top of the register."""
+"""The rules that operators apply in addition to the register."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     Attributes
     ----------
     weights : dict
-        Weight of each client account that differs from one; above zero.
+        Fair-share weight by client account, above zero; 1 for accounts not listed.
     retirements : tuple of str
-        Names of backend servers that get no new work.
+        Names of backend servers that receive no new requests.
     planned_stops : tuple of str
         Names of entry VMs whose routers drain and stop.
     """
--- a/celeryspan/settings.py
+++ b/celeryspan/settings.py
@@ -10,22 +10,23 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """What a router must be told; all else it learns from the store and its peers.
+    """Local settings; a router learns everything else from the store and its peers.
 
     Attributes
     ----------
     store_address : str
         Address of the platform's object API.
     fleet_keys : tuple of str
-        Shared keys that prove a peer: the first signs, all are accepted.
+        Shared keys that authenticate peers: the first one signs, all are accepted.
     operator_key_hashes : tuple of str
-        SHA-256 of each key that may read status and drain; none refuses all.
+        SHA-256 of each key that may read the status and drain the router; if empty, no
+        key may.
     address_seconds : float
-        How long a caller may keep an answer of ``GET /v1/addresses``, in seconds.
+        How long a caller may cache an answer of ``GET /v1/addresses``, in seconds.
     drain_seconds : float
-        Greatest time that a planned stop waits for requests, in seconds.
+        Maximum time that a planned stop waits for requests, in seconds.
     peers : tuple of str
-        Peer addresses to join through when the store can't be reached.
+        Peer addresses for joining the fleet while the store is unreachable.
     """
 
     router: structs.Name
--- a/celeryspan/states.py
+++ b/celeryspan/states.py
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known about whether a backend server carried out a request."""
+    """Whether a backend server ran a request, as far as known."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -14,7 +14,7 @@
 
 
 class RequestState(enum.Enum):
-    """How far a request has come on its way through a router."""
+    """Progress of a request through a router."""
 
     QUEUED = "queued"
     GRANTED = "granted"
@@ -24,7 +24,7 @@
 
 
 class MemberState(enum.Enum):
-    """What the fleet believes about one router."""
+    """State of a router as seen by the fleet."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -33,7 +33,7 @@
 
 
 class RunEnding(enum.Enum):
-    """How a place at a backend server was given back."""
+    """Why a slot of a backend server was released."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -45,7 +45,7 @@
 
 
 class ServerState(enum.Enum):
-    """What a router believes about one backend server."""
+    """State of a backend server as seen by a router."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -53,7 +53,7 @@
 
 
 class ServiceKind(enum.Enum):
-    """Which adapter speaks to the backend servers of a service."""
+    """Kind of a service; selects the adapter for its backend servers."""
 
     MODEL = "model"
     PLAIN = "plain"
--- a/celeryspan/storedobjects.py
+++ b/celeryspan/storedobjects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store and changes of them, as the routers pass them on."""
+"""Objects of the platform's store and their changes, as routers exchange them."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     Attributes
     ----------
     revision : int
-        Of its last change.
+        Revision of its last change.
     spec, status : object
-        What its writer put there, as decoded JSON.
+        Contents set by its writer, as decoded JSON.
     is_terminating : bool
-        Whether it only waits for its finalizers.
+        Whether it is deleted as soon as its finalizers have run.
     """
 
     name: str
@@ -26,10 +26,10 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """All objects of a kind, and the revision at which they were read."""
+    """All objects of a kind, and the revision of the store at which they were read."""
 
     objects: tuple[StoredObject, ...]
-    at: int
+    revision: int
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What has changed, and the revision from which to watch on."""
+    """Changes of objects, and the revision from which to continue the watch."""
 
     changes: tuple[Change, ...]
-    at: int
+    revision: int
--- a/tests/platform/test_objects.py
+++ b/tests/platform/test_objects.py
@@ -37,7 +37,7 @@
         store.put("servers", f"s{number}", {"number": number})
     listing = client.list_objects("servers")
     assert [found.name for found in listing.objects] == [f"s{n}" for n in range(5)]
-    assert listing.at == max(found.revision for found in listing.objects)
+    assert listing.revision == max(found.revision for found in listing.objects)
 
 
 def test_watch_timeout_is_independent_of_the_connect_timeout(store, client) -> None:
@@ -46,24 +46,24 @@
     A watch limited by the connect timeout would always fail, and routers would learn of
     a leaving server seconds late, from the periodic list.
     """
-    at = client.list_objects("servers").at
+    at = client.list_objects("servers").revision
     wait = objects.CONNECT_TIMEOUT_SECONDS + 0.3
     threading.Timer(wait, store.put, ("servers", "s1", {})).start()
     changes = client.watch("servers", at, 5.0)
     assert [change.object.name for change in changes.changes] == ["s1"]
-    assert client.watch("servers", changes.at, 0.05).changes == ()
+    assert client.watch("servers", changes.revision, 0.05).changes == ()
 
 
 def test_watch_reports_a_deletion(store, client) -> None:
     store.put("servers", "s1", {})
-    at = client.list_objects("servers").at
+    at = client.list_objects("servers").revision
     store.remove("servers", "s1")
     (change,) = client.watch("servers", at, 1.0).changes
     assert change.is_deleted and change.object.name == "s1"
 
 
 def test_watch_of_compacted_history_raises_history_gone(store, client) -> None:
-    at = client.list_objects("servers").at
+    at = client.list_objects("servers").revision
     store.put("servers", "s1", {})
     store.compact()
     with pytest.raises(errors.HistoryGone):
@@ -117,7 +117,7 @@
     store._objects["servers"]["s1"] = malformed
     listing = client.list_objects("servers")
     assert [found.name for found in listing.objects] == ["s0", "s2", "s3"]
-    at = listing.at
+    at = listing.revision
     store._changes.append((at + 1, "servers", malformed, False))
     store._revision = at + 1
     store.put("servers", "s9", {})
