--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -333,10 +333,10 @@
 def _apply_and_wait(
     client: store_adapter.StoreClient, address: str, weight: float
 ) -> float:
-    standing = publishing.read_standing(client)
+    stored = publishing.read_stored(client)
     added = rules.Rules(weights={"desk": weight + 1})
     began = time.monotonic()
-    made = publishing.publish(client, standing, standing.value.register, added, "bench")
+    made = publishing.publish(client, stored, stored.value.register, added, "bench")
     asking = routers_adapter.RouterClient(fleet.OPERATOR_KEY)
     while time.monotonic() - began < SETTLE_SECONDS:
         reports = asking.get_reports(address)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -87,8 +87,8 @@
     """Write the first generation once the store answers."""
     wait_for(store, "/_calls")
     client = store_adapter.StoreClient(store)
-    standing = publishing.read_standing(client)
-    publishing.publish(client, standing, entries, rules.Rules(), "bench")
+    stored = publishing.read_stored(client)
+    publishing.publish(client, stored, entries, rules.Rules(), "bench")
 
 
 def wait_for(address: str, path: str, headers: dict[str, str] | None = None) -> None:
--- a/celeryspan/daemons/operations.py
+++ b/celeryspan/daemons/operations.py
@@ -85,17 +85,17 @@
     router = registry.require(values, "router", "HOST:PORT") if values.wait else ""
     entries, added = inputs.read_register_and_rules(*arguments)
     client = store.StoreClient(find_store(values))
-    standing = publishing.read_standing(client)
-    lines = changes.describe_changes(standing.value, entries, added)
+    stored = publishing.read_stored(client)
+    lines = changes.describe_changes(stored.value, entries, added)
     if not lines:
-        print(f"no changes; generation {standing.generation} stays")
+        print(f"no changes; generation {stored.generation} stays")
         return registry.Exit.DONE
     print("\n".join(lines))
     if values.dry_run:
-        print(f"{len(lines)} changes to generation {standing.generation}; not written")
+        print(f"{len(lines)} changes to generation {stored.generation}; not written")
         return registry.Exit.DONE
     author = values.author or f"{getpass.getuser()}@{socket.gethostname()}"
-    written = publishing.publish(client, standing, entries, added, author)
+    written = publishing.publish(client, stored, entries, added, author)
     print(f"generation {written.generation} written: {len(lines)} changes by {author}")
     if values.wait:
         return wait_in_force(router, written.generation, values.wait)
--- a/celeryspan/publishing.py
+++ b/celeryspan/publishing.py
@@ -1,8 +1,9 @@
-"""Write one new generation of the configuration into the object API.
+"""Publishes a new generation of the configuration to the object API.
 
-The index object is the only one that is replaced, by a conditional update, last. So of
-two operators who race each other one wins whole and the other learns who won; and a
-writer that dies between chunks and index leaves the generation in force untouched.
+The index object is the only one that is replaced; this is done last, by a conditional
+update. Of two operators who publish concurrently, exactly one succeeds and the other
+learns who did. A writer that dies between the chunks and the index leaves the current
+generation unchanged.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 from celeryspan import configuration, documents, errors, ids, register, rules
 
-READ_BACK_TRIES = 5
-"""Reads after a lost answer, the pauses doubling: 0.2 s to 3.2 s, 6 s in all."""
+READ_BACK_ATTEMPTS = 5
+"""Reads after a lost answer; the pauses double from 0.2 s to 3.2 s, 6.2 s in total."""
 
 READ_BACK_SECONDS = 0.2
 
@@ -24,29 +25,29 @@
 
 
 class Client(Protocol):
-    """The calls of the object API that a writer needs."""
+    """The calls of the object API that publishing needs."""
 
     address: str
 
     def get(self, key: str) -> tuple[bytes, int]:
-        """Return value and version; raise errors.NotFound."""
+        """Return value and version; raises errors.NotFound."""
 
     def create(self, key: str, value: bytes) -> int:
-        """Write a new key; raise errors.Conflict."""
+        """Write a new key; raises errors.Conflict."""
 
     def update(self, key: str, value: bytes, version: int) -> int:
-        """Replace the value at a version; raise errors.Conflict."""
+        """Replace the value at a version; raises errors.Conflict."""
 
 
-class Standing(msgspec.Struct, frozen=True):
-    """The configuration that stands in the object API.
+class StoredConfiguration(msgspec.Struct, frozen=True):
+    """The configuration in the object API.
 
     Attributes
     ----------
     value : Configuration or None
         None before the first generation.
     version : int
-        Version of the index object, 0 before the first.
+        Version of the index object, 0 before the first generation.
     """
 
     value: configuration.Configuration | None
@@ -54,59 +55,59 @@
 
     @property
     def generation(self) -> int:
-        """Number of the generation, 0 before the first."""
+        """Number of the generation; 0 if there is none."""
         return self.value.generation if self.value else 0
 
 
 class NotPublished(errors.Conflict):
-    """Another generation was written first; this one was not and will not be."""
+    """Another generation was written first; this one will not take effect."""
 
 
 class PublicationUnknown(errors.StoreUnavailable):
-    """No answer; whether the new generation is in force is not known."""
+    """No answer; whether the new generation is in force is unknown."""
 
 
-def read_standing(client: Client) -> Standing:
-    """Return the configuration that stands in the object API."""
+def read_stored(client: Client) -> StoredConfiguration:
+    """Return the configuration in the object API."""
     try:
         value, version = client.get(documents.INDEX_KEY)
     except errors.NotFound:
-        return Standing(None, 0)
+        return StoredConfiguration(None, 0)
     index = documents.Index.decode(value)
     chunks = {key: client.get(key)[0] for key in index.chunks}
-    return Standing(documents.unpack(documents.join(index, chunks)), version)
+    return StoredConfiguration(documents.unpack(documents.join(index, chunks)), version)
 
 
 def publish(
     client: Client,
-    standing: Standing,
-    entries: register.Register,
-    added: rules.Rules,
+    stored: StoredConfiguration,
+    new_register: register.Register,
+    new_rules: rules.Rules,
     author: str,
     placements: dict[str, str] | None = None,
 ) -> configuration.Configuration:
-    """Write the generation after the one that stands.
+    """Write the generation after the stored one.
 
     Parameters
     ----------
     placements : dict, optional
-        Services of servers moved by the routers; those that stand by default, but
-        for the servers whose service the register changes.
+        Services of servers moved by the routers; by default the stored ones, except
+        for servers whose service the register changes.
 
     Raises
     ------
     NotPublished
-        If another writer was faster; nothing of this one is in force.
+        If another writer was faster; nothing of this generation is in force.
     PublicationUnknown
-        If no answer came and the state could not be read back.
+        If no answer arrived and reading back did not show the outcome.
     """
     if placements is None:
-        placements = keep_placements(standing.value, entries)
+        placements = keep_placements(stored.value, new_register)
     value = configuration.Configuration(
-        generation=standing.generation + 1,
+        generation=stored.generation + 1,
         author=author,
-        register=entries,
-        rules=added,
+        register=new_register,
+        rules=new_rules,
         placements=placements,
     )
     chunks = documents.split(documents.pack(value))
@@ -114,23 +115,23 @@
         ids.Generation(value.generation), author, secrets.token_hex(8), tuple(chunks)
     )
     _write_chunks(client, chunks)
-    _replace_index(client, index, standing.version)
+    _replace_index(client, index, stored.version)
     return value
 
 
 def keep_placements(
-    old: configuration.Configuration | None, entries: register.Register
+    old: configuration.Configuration | None, new_register: register.Register
 ) -> dict[str, str]:
-    """Return the placements that still hold under a new register.
+    """Return the placements that remain valid under a new register.
 
-    An operator who gives a server another service means that one; without this an
-    old move would win over the new register, silently and for good.
+    A placement is dropped if the operator changes the server's service; otherwise an
+    old move would silently and permanently override the new register.
     """
     if old is None:
         return {}
     before = {server.name: server.service for server in old.register.servers}
-    after = {server.name: server.service for server in entries.servers}
-    services = {service.name for service in entries.services}
+    after = {server.name: server.service for server in new_register.servers}
+    services = {service.name for service in new_register.services}
     return {
         name: service
         for name, service in old.placements.items()
@@ -142,20 +143,19 @@
     try:
         _write_index(client, index, version)
     except errors.Conflict as error:
-        # An answer lost below this client, and the write repeated by something in
-        # between, shows as a conflict with our own write; the name of the writing
-        # tells it from another's.
-        _judge_index(client, index, error)
+        # If a layer below this client lost the answer and repeated the write, the
+        # conflict is with our own write; the write id in the index tells.
+        _check_own_write(client, index, error)
     except errors.StoreUnavailable as error:
         _read_back(client, index, version, error)
 
 
 def _write_chunks(client: Client, chunks: dict[str, bytes]) -> None:
-    for key, piece in chunks.items():
+    for key, chunk in chunks.items():
         try:
-            client.create(key, piece)
+            client.create(key, chunk)
         except errors.Conflict:
-            continue  # The key is the content's hash: the same bytes stand there.
+            continue  # The key is the content hash: the same bytes are stored already.
 
 
 def _write_index(client: Client, index: documents.Index, version: int) -> None:
@@ -165,15 +165,15 @@
         client.create(documents.INDEX_KEY, index.encode())
 
 
-def _judge_index(
+def _check_own_write(
     client: Client, index: documents.Index, error: errors.Conflict
 ) -> None:
     found = documents.Index.decode(client.get(documents.INDEX_KEY)[0])
     if found.write != index.write:
-        raise _make_refusal(client, index, found) from error
+        raise _make_not_published(client, index, found) from error
 
 
-def _make_refusal(
+def _make_not_published(
     client: Client, index: documents.Index, found: documents.Index
 ) -> NotPublished:
     return NotPublished(
@@ -188,16 +188,16 @@
 def _read_back(
     client: Client, index: documents.Index, version: int, error: Exception
 ) -> None:
-    """Find out whether a write without an answer took effect.
+    """Determine whether a write without an answer took effect.
 
-    The answer of a write may be lost though it took effect; it shows as a closed
-    connection. Told as a failure, the operator applies again and raises a second
-    generation; told as done, a change may be missing. So the index is read back: the
-    name of the writing in it proves the write. An unchanged index proves nothing, as
-    the write may still be on its way; then the writer says that it does not know.
+    A write may take effect although its answer is lost, which shows as a closed
+    connection. Reported as a failure, it makes the operator apply again and create a
+    second generation; reported as a success, a change may be missing. So the index is
+    read back: the write id in it proves the write. An unchanged index proves nothing,
+    because the write may still be in flight; the outcome is then reported as unknown.
     """
     pause = READ_BACK_SECONDS
-    for _ in range(READ_BACK_TRIES):
+    for _ in range(READ_BACK_ATTEMPTS):
         time.sleep(pause)
         pause *= 2
         try:
@@ -208,9 +208,9 @@
         if found.write == index.write:
             return
         if found.generation == index.generation:
-            raise _make_refusal(client, index, found) from error
+            raise _make_not_published(client, index, found) from error
         if found_version > version:
-            break  # Replaced since: whether it was in force in between is not known.
+            break  # Replaced since; whether it was in force in between is unknown.
     raise PublicationUnknown(
         f"no answer to the write of generation {index.generation}; whether it took "
         "effect is not known; apply again: it shows what still differs",
--- a/celeryspan/services/moves.py
+++ b/celeryspan/services/moves.py
@@ -137,15 +137,15 @@
 
     def _write(self, current: configuration.Configuration, progress: Progress) -> None:
         """Write the new service as a generation; an operator's change wins."""
-        standing = publishing.read_standing(self._client)
-        if standing.generation != current.generation:
+        stored = publishing.read_stored(self._client)
+        if stored.generation != current.generation:
             return  # A newer one is on its way here; look again with it in force.
         placements = dict(current.placements)
         placements[progress.move.server] = progress.move.target
         try:
             publishing.publish(
                 self._client,
-                standing,
+                stored,
                 current.register,
                 current.rules,
                 f"placement by {self._author}",
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -161,9 +161,9 @@
                 for vm in self._vms
             ]
         )
-        standing = publishing.read_standing(client)
+        stored = publishing.read_stored(client)
         value = self.make_configuration()
-        publishing.publish(client, standing, value.register, value.rules, "demo")
+        publishing.publish(client, stored, value.register, value.rules, "demo")
         for part in self.routers:
             part.start()
         self._wait_ready()
--- a/tests/daemons/test_command.py
+++ b/tests/daemons/test_command.py
@@ -87,7 +87,7 @@
     assert "~ weight tower: 1 -> 4" in capsys.readouterr().out
     assert command.main(arguments) is EXIT.DONE
     client = store_adapter.StoreClient(str(platform.address))
-    assert publishing.read_standing(client).generation == 2
+    assert publishing.read_stored(client).generation == 2
 
 
 def test_apply_without_a_store_says_so(
--- a/tests/daemons/test_router.py
+++ b/tests/daemons/test_router.py
@@ -31,7 +31,7 @@
     client = store_adapter.StoreClient(str(found.store.address))
     entries = found.make_configuration().register
     publishing.publish(
-        client, publishing.read_standing(client), entries, rules.Rules(), "test"
+        client, publishing.read_stored(client), entries, rules.Rules(), "test"
     )
     yield found
     found.stop()
--- a/tests/services/test_configuration.py
+++ b/tests/services/test_configuration.py
@@ -39,9 +39,9 @@
         made = scheduling.make_configuration(
             {"server-1": 1}, ["desk"], weights={"desk": weight}
         )
-        standing = publishing.read_standing(self.client)
+        stored = publishing.read_stored(self.client)
         written = publishing.publish(
-            self.client, standing, made.register, made.rules, "test"
+            self.client, stored, made.register, made.rules, "test"
         )
         return written.generation
 
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -60,8 +60,8 @@
                 "accounts": [{"name": "desk", "key_hashes": ["0" * 64]}],
             }
         )
-        standing = publishing.read_standing(self.client)
-        publishing.publish(self.client, standing, made, rules.Rules(), "test")
+        stored = publishing.read_stored(self.client)
+        publishing.publish(self.client, stored, made, rules.Rules(), "test")
 
     def start(self, name: str) -> kernel.Kernel:
         peers = tuple(box.settings.peer_address for box in self.boxes[:1])
--- a/tests/test_publishing.py
+++ b/tests/test_publishing.py
@@ -1,4 +1,4 @@
-"""Writing a generation: races, lost answers, first and later ones."""
+"""Publishing a generation: first and later ones, races and lost answers."""
 
 from __future__ import annotations
 
@@ -47,68 +47,68 @@
     return store_adapter.StoreClient(str(platform.address), read_timeout=5.0)
 
 
-def test_generations_follow_each_other(client: store_adapter.StoreClient) -> None:
-    first = publishing.read_standing(client)
+def test_generations_are_consecutive(client: store_adapter.StoreClient) -> None:
+    first = publishing.read_stored(client)
     assert (first.value, first.generation) == (None, 0)
     publishing.publish(client, first, make_register("g-1"), rules.Rules(), "jana")
-    second = publishing.read_standing(client)
+    second = publishing.read_stored(client)
     publishing.publish(client, second, make_register("g-2"), rules.Rules(), "petr")
-    third = publishing.read_standing(client)
+    third = publishing.read_stored(client)
     assert third.value is not None
     assert (third.generation, third.value.author) == (2, "petr")
     assert third.value.register.servers[0].name == "g-2"
 
 
-def test_loser_of_a_race_is_told_what_won(client: store_adapter.StoreClient) -> None:
-    """Two operators read generation 1 and both change it.
+def test_loser_of_a_race_learns_who_won(client: store_adapter.StoreClient) -> None:
+    """Two operators read the same generation and both change it.
 
-    The second to write would undo the first's change without knowing of it; a user
-    sees a retired server get work again. The conditional update refuses the second.
+    Without the conditional update, the second write would undo the first unnoticed, and
+    a retired server would receive requests again.
     """
-    empty = publishing.read_standing(client)
+    empty = publishing.read_stored(client)
     publishing.publish(client, empty, make_register("g-1"), rules.Rules(), "jana")
-    standing = publishing.read_standing(client)
-    publishing.publish(client, standing, make_register("g-2"), rules.Rules(), "jana")
+    stored = publishing.read_stored(client)
+    publishing.publish(client, stored, make_register("g-2"), rules.Rules(), "jana")
     with pytest.raises(publishing.NotPublished, match="found generation 2 by jana"):
-        publishing.publish(client, standing, make_register("g-3"), rules.Rules(), "p")
-    assert publishing.read_standing(client).generation == 2
+        publishing.publish(client, stored, make_register("g-3"), rules.Rules(), "p")
+    assert publishing.read_stored(client).generation == 2
 
 
 @pytest.mark.parametrize("generations", [0, 1])
 def test_lost_answer_of_a_write_that_took_effect(
     client: store_adapter.StoreClient, platform: store.Store, generations: int
 ) -> None:
-    """The index is written and the store's answer is lost.
+    """The index is written but the store's answer is lost.
 
-    Told as a failure, the operator would apply again, or believe the change absent
-    while the fleet follows it.
+    Reported as a failure, the operator would apply again, or assume that the change is
+    not in force although the fleet follows it.
     """
     for _ in range(generations):
-        standing = publishing.read_standing(client)
-        publishing.publish(client, standing, make_register("g-1"), rules.Rules(), "j")
-    standing = publishing.read_standing(client)
+        stored = publishing.read_stored(client)
+        publishing.publish(client, stored, make_register("g-1"), rules.Rules(), "j")
+    stored = publishing.read_stored(client)
     lost = LosingClient(client, platform)
-    value = publishing.publish(lost, standing, make_register("g-2"), rules.Rules(), "j")
+    value = publishing.publish(lost, stored, make_register("g-2"), rules.Rules(), "j")
     assert value.generation == generations + 1
-    assert publishing.read_standing(client).generation == generations + 1
+    assert publishing.read_stored(client).generation == generations + 1
 
 
-def test_no_answer_and_no_effect_is_said_to_be_unknown(
+def test_write_without_answer_or_effect_is_reported_as_unknown(
     client: store_adapter.StoreClient, platform: store.Store
 ) -> None:
-    """The store goes down between the chunks and the index, and comes back.
+    """The store is down while the index is written, and recovers.
 
-    The write may still be on its way, so that neither "done" nor "not done" is known.
+    The write may still be in flight, so neither success nor failure can be reported.
     """
-    standing = publishing.read_standing(client)
+    stored = publishing.read_stored(client)
     refusing = LosingClient(client, platform, down=True)
     with pytest.raises(publishing.PublicationUnknown, match="not known; apply again"):
-        publishing.publish(refusing, standing, make_register("g"), rules.Rules(), "j")
-    assert publishing.read_standing(client).value is None
+        publishing.publish(refusing, stored, make_register("g"), rules.Rules(), "j")
+    assert publishing.read_stored(client).value is None
 
 
 class LosingClient:
-    """A client whose write of the index gets no answer."""
+    """A client that gets no answer to its write of the index."""
 
     def __init__(
         self,
@@ -139,8 +139,10 @@
             self._platform.control(down=False)
 
 
-def test_changes_are_lines() -> None:
-    old = make_standing(make_register("g-1", "g-2"), rules.Rules(weights={"tower": 4}))
+def test_each_change_is_one_line() -> None:
+    old = make_configuration(
+        make_register("g-1", "g-2"), rules.Rules(weights={"tower": 4})
+    )
     added = rules.Rules(weights={"buses": 2}, retirements=("g-3",))
     new = make_register("g-2", "g-3", slots=4)
     assert changes.describe_changes(old, new, added) == [
@@ -153,15 +155,15 @@
     ]
 
 
-def make_standing(entries: register.Register, added: rules.Rules):
+def make_configuration(entries: register.Register, added: rules.Rules):
     return publishing.configuration.Configuration(
         generation=1, register=entries, rules=added
     )
 
 
-def test_damaged_index_is_named(
+def test_damaged_index_is_rejected(
     client: store_adapter.StoreClient, platform: store.Store
 ) -> None:
     client.create(publishing.documents.INDEX_KEY, b"not json")
     with pytest.raises(errors.InputError, match="not an index"):
-        publishing.read_standing(client)
+        publishing.read_stored(client)
