--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixed seeds for hypothesis, and the list of known faults."""
+"""Makes hypothesis deterministic, and expects the listed known failures."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the line of each listed test by its id."""
+    """Return the line of each listed test, by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -24,7 +24,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests, and only these, to fail."""
+    """Mark the listed tests as expected failures; an unexpected pass is an error."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
@@ -32,6 +32,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the listed tests, so that a green run does not hide them."""
+    """Print the listed tests, so that a passing run does not hide them."""
     for line in read_known_red().values():
         terminalreporter.write_line(f"known red: {line}")
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Services of the kernel as tests need them, in memory."""
+"""In-memory fakes of kernel services."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Slot:
-    """A slot that remembers what became of it."""
+    """A slot that records how it was used."""
 
     def __init__(self, server: ids.ServerId) -> None:
         self.server = server
@@ -35,7 +35,7 @@
 
 
 class Dispatch:
-    """Gives slots of the servers in turn, without those excluded."""
+    """Grants a slot of the first matching server that is not excluded."""
 
     def __init__(self, servers: list[ids.ServerId]) -> None:
         self.servers = servers
@@ -53,14 +53,14 @@
             event = self.cancelled.setdefault(work.request, threading.Event())
             self.waiting.set()
             event.wait(10)
-            raise errors.NotRun("taken out", code="cancelled", status=503)
+            raise errors.NotRun("removed from the queue", code="cancelled", status=503)
         for server in self.servers:
             if server.startswith(work.service) and server not in work.excluded:
                 slot = Slot(server)
                 self.slots.append(slot)
                 return slot
         raise errors.NotRun(
-            "all have failed", code="no-server", status=503, retry_after=1.0
+            "all servers are excluded", code="no-server", status=503, retry_after=1.0
         )
 
     def cancel(self, request: ids.RequestId) -> None:
@@ -68,7 +68,7 @@
 
 
 class Configuration:
-    """Holds one configuration."""
+    """Provides one configuration."""
 
     def __init__(self, value: configuration.Configuration | None) -> None:
         self.value = value
@@ -85,7 +85,7 @@
 
 
 class Membership:
-    """Knows the members that a test names."""
+    """Provides the members that a test sets."""
 
     def __init__(self) -> None:
         self.incarnation = ids.Incarnation(7)
@@ -107,7 +107,7 @@
 
 
 class Store:
-    """An object API in memory; a test may take it down or lose its answers."""
+    """An object API; a test may make it unavailable or lose its answers."""
 
     def __init__(self) -> None:
         self.values: dict[str, tuple[bytes, int]] = {}
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""A TCP server whose answers a test writes down, and a kernel around a caller."""
+"""A TCP server scripted by tests, and a router with fakes of its other services."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass
 class Received:
-    """One request as the scripted server read it."""
+    """A request received by the scripted server."""
 
     line: str
     headers: dict[str, str]
@@ -33,7 +33,7 @@
 
     @property
     def run(self) -> str:
-        """The id of the run, for an engine."""
+        """The id of the run, if the server is an engine."""
         return json.loads(self.body)["request"]
 
 
@@ -41,21 +41,21 @@
 
 
 class Server:
-    """Gives each request to a script, which returns whether to go on reading."""
+    """Passes each request to a script, which returns whether to keep the connection."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.received: list[Received] = []
         self.closed = threading.Event()
         self._socket = socket.create_server(("127.0.0.1", 0))
-        self._open: list[socket.socket] = []
+        self._connections: list[socket.socket] = []
         self.address = ids.Address(*self._socket.getsockname())
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Stop accepting and close what is open."""
+        """Stop accepting connections and close the open ones."""
         self._socket.close()
-        for connection in self._open:
+        for connection in self._connections:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
@@ -63,7 +63,7 @@
         with contextlib.suppress(OSError):
             while True:
                 connection, _ = self._socket.accept()
-                self._open.append(connection)
+                self._connections.append(connection)
                 threading.Thread(
                     target=self._serve, args=(connection,), daemon=True
                 ).start()
@@ -193,7 +193,7 @@
 
 
 class Router:
-    """A kernel with the services under test and fakes for the others."""
+    """A kernel with the services under test and fakes of the others."""
 
     def __init__(
         self,
@@ -226,14 +226,14 @@
             server.close()
 
     def _make_registry(self) -> dict[str, kernel.Registration]:
-        fakes = {
+        fake_services = {
             "configuration": self.configuration,
             "dispatch": self.dispatch,
             "membership": self.membership,
             "store": self.store,
         }
         registry = dict(kernel.REGISTRY)
-        for name, fake in fakes.items():
+        for name, fake in fake_services.items():
             registry[name] = kernel.Registration(lambda _box, fake=fake: fake, ())
         return registry
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Links between the pages lead somewhere."""
+"""Consistency of the documentation with the files and modules of the project."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def find_links(page: pathlib.Path) -> set[pathlib.Path]:
-    """Return the files that a page links to, without anchors and other sites."""
+    """Return the local files that a page links to, without anchors."""
     targets = re.findall(r"\]\(([^)#\s]+)(?:#[^)]*)?\)", page.read_text())
     local = [target for target in targets if "://" not in target]
     return {(page.parent / target).resolve() for target in local}
 
 
-def test_every_link_leads_to_a_file() -> None:
+def test_every_link_target_exists() -> None:
     broken = [
         f"{page.relative_to(ROOT)}: {target}"
         for page in PAGES
@@ -29,9 +29,9 @@
     assert broken == []
 
 
-def test_architecture_names_every_service_and_decision() -> None:
+def test_architecture_page_lists_every_service_and_decision() -> None:
     page = (ROOT / "docs" / "architecture.md").read_text()
-    named = set(re.findall(r"^\| `(\w+)` \|", page, re.MULTILINE))
+    listed = set(re.findall(r"^\| `(\w+)` \|", page, re.MULTILINE))
     router.import_services()
     modules = {path.stem for path in ROOT.glob("celeryspan/decisions/[a-z]*.py")}
-    assert named >= modules | set(kernel.REGISTRY)
+    assert listed >= modules | set(kernel.REGISTRY)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples are valid and have the names, places and sizes of the two firms."""
+"""The example files are valid and describe the two firms with their full sizes."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 @pytest.mark.parametrize("firm", SIZES)
-def test_register_and_rules(firm: str) -> None:
+def test_register_and_rules_are_valid(firm: str) -> None:
     folder = EXAMPLES / firm
     entries, _ = inputs.read_register_and_rules(
         folder / "register.yaml", folder / "rules.yaml"
     )
-    servers, places = SIZES[firm]
+    servers, data_centres = SIZES[firm]
     assert entries.firm == firm
     assert collections.Counter(item.service for item in entries.servers) == servers
-    assert {item.name for item in entries.data_centres} == places
-    assert {item.data_centre for item in entries.vms} == places
+    assert {item.name for item in entries.data_centres} == data_centres
+    assert {item.data_centre for item in entries.vms} == data_centres
     assert (len(entries.vms), len(entries.accounts)) == (6, 16)
 
 
 @pytest.mark.parametrize("firm", SIZES)
-def test_settings_fit_the_register(firm: str) -> None:
+def test_settings_match_the_register(firm: str) -> None:
     folder = EXAMPLES / firm
     entries, _ = inputs.read_register_and_rules(
         folder / "register.yaml", folder / "rules.yaml"
--- a/tests/test_inputs.py
+++ b/tests/test_inputs.py
@@ -1,4 +1,4 @@
-"""Faults of settings, register and rules, as an operator sees them."""
+"""Faults reported for settings, register and rules files."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
     return []
 
 
-def test_valid_files_have_no_fault(tmp_path: pathlib.Path) -> None:
+def test_valid_files_have_no_faults(tmp_path: pathlib.Path) -> None:
     assert find_faults(tmp_path, rules_text="weights: {tower: 4}") == []
 
 
-def test_five_faults_are_five_lines(tmp_path: pathlib.Path) -> None:
+def test_each_fault_is_one_line(tmp_path: pathlib.Path) -> None:
     text = (
         REGISTER.replace("name: vm-2,", "name: vm-1,")
         .replace("kind: plain", "kind: simple")
@@ -122,7 +122,7 @@
         ("firm: vrbicky", "firm: !!python/name:os.system", "expected plain YAML"),
     ],
 )
-def test_fault_of_the_register(
+def test_register_fault(
     tmp_path: pathlib.Path, old: str, new: str, expected: str
 ) -> None:
     assert old in REGISTER
@@ -152,19 +152,19 @@
         ("weights: &w {tower: 1}\nretirements: *w", "expected a value written out"),
     ],
 )
-def test_fault_of_the_rules(tmp_path: pathlib.Path, text: str, expected: str) -> None:
+def test_rules_fault(tmp_path: pathlib.Path, text: str, expected: str) -> None:
     faults = find_faults(tmp_path, rules_text=text)
     assert len(faults) == 1
     assert expected in faults[0]
     assert faults[0].startswith("rules.yaml:")
 
 
-def test_faults_of_both_files_come_together(tmp_path: pathlib.Path) -> None:
+def test_faults_of_both_files_are_reported_together(tmp_path: pathlib.Path) -> None:
     text = REGISTER.replace(":9002", ":9001").replace("kind: plain", "kind: simple")
     text = text.replace("firm: vrbicky", "firm: a\nfirm: b")
     faults = find_faults(tmp_path, text, "weights: {tower: 0}\nretirements: [gate-9]")
-    places = [fault.split(": ")[1] for fault in faults]
-    assert places == [
+    key_paths = [fault.split(": ")[1] for fault in faults]
+    assert key_paths == [
         "firm",
         "services[0 gate-desk].kind",
         "servers[1 gate-2].address",
@@ -180,7 +180,7 @@
     assert line.endswith("expected a file to read, found: No such file or directory")
 
 
-def test_settings(tmp_path: pathlib.Path) -> None:
+def test_settings_faults_are_reported_together(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(SETTINGS)
     assert isinstance(inputs.read_settings(path), settings.Settings)
--- a/tests/test_structs.py
+++ b/tests/test_structs.py
@@ -1,4 +1,4 @@
-"""Faults of settings as an operator sees them, all at once."""
+"""Faults reported for the settings of a router on the users' platform."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from celeryspan import yamlfiles
 from celeryspan.gateway import settings
 
-WHOLE = {
+VALID = {
     "router": "edge-1",
     "data_centre": "hala-a",
     "caller_address": "10.0.0.1:1",
@@ -22,7 +22,7 @@
     "fleet_keys": "[key]",
 }
 
-PROGRAM = """
+IMPORT_CHECK = """
 import sys
 from celeryspan.daemons import gateway
 gateway.import_services()
@@ -31,8 +31,8 @@
 
 
 def find_faults(folder: pathlib.Path, **changes: str | None) -> list[str]:
-    """Return the faults of settings with some lines changed, or left out for None."""
-    values = {**WHOLE, **changes}
+    """Return the faults of settings with some keys changed, or omitted if None."""
+    values = {**VALID, **changes}
     lines = [f"{key}: {text}" for key, text in values.items() if text is not None]
     path = folder / "router.yaml"
     path.write_text("\n".join(lines))
@@ -67,32 +67,32 @@
         ("grace", "8", "grace: expected only known keys, found this one with 8"),
     ],
 )
-def test_fault_names_key_and_expectation(
+def test_fault_names_the_key_and_the_expected_value(
     tmp_path: pathlib.Path, key: str, text: str | None, expected: str
 ) -> None:
     (fault,) = find_faults(tmp_path, **{key: text})
     assert fault.startswith(expected)
 
 
-def test_all_faults_come_at_once(tmp_path: pathlib.Path) -> None:
+def test_all_faults_are_reported_at_once(tmp_path: pathlib.Path) -> None:
     faults = find_faults(
         tmp_path, router="Edge", fleet_keys="[]", grace_seconds="0", grace="8"
     )
-    places = [fault.split(":")[0] for fault in faults]
-    assert places == ["router", "fleet_keys", "grace_seconds", "grace"]
+    keys = [fault.split(":")[0] for fault in faults]
+    assert keys == ["router", "fleet_keys", "grace_seconds", "grace"]
 
 
-def test_whole_settings_have_no_fault(tmp_path: pathlib.Path) -> None:
+def test_valid_settings_have_no_faults(tmp_path: pathlib.Path) -> None:
     assert find_faults(tmp_path, grace_seconds="4") == []
 
 
-def test_router_of_the_platform_does_without_pydantic() -> None:
-    """A VM of 200 MB has dear memory, and half a core to start a router on.
+def test_platform_router_does_not_import_pydantic() -> None:
+    """On a VM with 200 MB of memory and half a core, importing pydantic is expensive.
 
-    A third of the router's memory and a quarter of its start went into a library that
-    checked one small file.
+    It took a third of the router's memory and a quarter of its startup time, only to
+    validate one small file.
     """
-    done = subprocess.run(
-        [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=60
+    completed = subprocess.run(
+        [sys.executable, "-c", IMPORT_CHECK], capture_output=True, text=True, timeout=60
     )
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
