--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -87,7 +87,7 @@
         Timeouts and runs whose caller has left are ignored: they say nothing about the
         server.
         """
-        if _is_timeout(lost) or order.presence.gone:
+        if _is_timeout(lost) or order.cancellation.is_cancelled:
             return
         now = time.monotonic()
         since = progress.answer_begun_at or progress.last_sent_at
--- a/celeryspan/services/claims.py
+++ b/celeryspan/services/claims.py
@@ -176,7 +176,7 @@
         errors.OutcomeUnknown
             If it is still running at the deadline or when the caller disconnects.
         """
-        while time.monotonic() < call.deadline and not call.presence.gone:
+        while time.monotonic() < call.deadline and not call.cancellation.is_cancelled:
             with self._changed:
                 if self._changed.wait_for(
                     lambda: not self._is_running(name), CALLER_CHECK_SECONDS
--- a/celeryspan/services/forwarding.py
+++ b/celeryspan/services/forwarding.py
@@ -26,7 +26,6 @@
 NOT_FORWARDED_HEADERS = (
     frozenset({"host", "content-length", "expect"}) | plain.HOP_BY_HOP_HEADERS
 )
-)
 
 
 class Forwarder:
@@ -55,7 +54,7 @@
                 owner, "is not the router that it was forwarded to"
             )
         link = self._connect(owner)
-        call.presence.watch(lambda: backends.abort(link))
+        call.cancellation.on_cancel(lambda: backends.abort(link))
         events.log(
             events.Event.REQUEST_FORWARDED,
             request=incoming.request,
@@ -121,7 +120,9 @@
         return link.getresponse()
 
 
-def _return_response(link: backend.Connection, response: urllib3.BaseHTTPResponse) -> object:
+def _return_response(
+    link: backend.Connection, response: urllib3.BaseHTTPResponse
+) -> object:
     cherrypy.response.status = response.status
     headers = cherrypy.response.headers
     headers.pop("Content-Type", None)
--- a/celeryspan/services/moves.py
+++ b/celeryspan/services/moves.py
@@ -147,7 +147,7 @@
         self, current: configuration.Configuration, progress: MoveProgress
     ) -> None:
         """Publish the new service, unless an operator has published a change."""
-        published = publishing.read_standing(self._store_client)
+        published = publishing.read_stored(self._store_client)
         if published.generation != current.generation:
             return  # Retry once the newer generation is in force here.
         placements = dict(current.placements)
--- a/celeryspan/services/runs.py
+++ b/celeryspan/services/runs.py
@@ -57,11 +57,12 @@
         errors.NotRun
             If the caller no longer waits.
         """
-        if call.presence.gone or time.monotonic() >= call.deadline:
+        if call.cancellation.is_cancelled or time.monotonic() >= call.deadline:
             # A process that resumes after a suspension finds its deadlines passed. The
             # caller has given up long ago, so the request must not run late.
             self.progress.release()
-            code = "deadline-passed" if not call.presence.gone else "caller-left"
+            cancelled = call.cancellation.is_cancelled
+            code = "caller-left" if cancelled else "deadline-passed"
             raise errors.NotRun(
                 "nobody waits for the answer any more",
                 code=code,
@@ -97,7 +98,7 @@
             run=self.id,
             server=self.slot.server,
         )
-        call.presence.watch(self.abort_read)
+        call.cancellation.on_cancel(self.abort_read)
 
     def abort_read(self) -> None:
         """Unblock the thread that reads the answer, after the caller has left."""
--- a/tests/services/test_configuration.py
+++ b/tests/services/test_configuration.py
@@ -37,9 +37,9 @@
         published = fleet_support.make_configuration(
             {"server-1": 1}, ["desk"], weights={"desk": weight}
         )
-        standing = publishing.read_standing(self.client)
+        stored = publishing.read_stored(self.client)
         written = publishing.publish(
-            self.client, standing, published.register, published.rules, "test"
+            self.client, stored, published.register, published.rules, "test"
         )
         return written.generation
 
--- a/tests/services/test_orders.py
+++ b/tests/services/test_orders.py
@@ -60,8 +60,8 @@
                 "accounts": [{"name": "desk", "key_hashes": ["0" * 64]}],
             }
         )
-        standing = publishing.read_standing(self.client)
-        publishing.publish(self.client, standing, created, rules.Rules(), "test")
+        stored = publishing.read_stored(self.client)
+        publishing.publish(self.client, stored, created, rules.Rules(), "test")
 
     def start(self, name: str) -> kernel.Kernel:
         peers = tuple(router.settings.peer_address for router in self.routers[:1])
