--- a/bench/costs.py
+++ b/bench/costs.py
@@ -374,7 +374,7 @@
         def play() -> None:
             for index in range(size):
                 events.log(event, router=OWN, request=f"request-{index}")
-            writer.write_out()
+            writer.write_queued()
 
         return play
 
--- a/celeryspan/daemons/gateway.py
+++ b/celeryspan/daemons/gateway.py
@@ -71,7 +71,7 @@
     ).start()
     stop.finished.wait()
     box.stop()
-    writer.write_out()
+    writer.write_queued()
     return registry.Exit.DONE
 
 
--- a/celeryspan/daemons/router.py
+++ b/celeryspan/daemons/router.py
@@ -121,7 +121,7 @@
         try:
             return serve(Router(found))
         finally:
-            writer.write_out()
+            writer.write_queued()
 
 
 def serve(found: Router) -> registry.Exit:
--- a/celeryspan/events.py
+++ b/celeryspan/events.py
@@ -1,9 +1,9 @@
-"""The numbered events that the daemons log, and how they are written.
+"""Defines the numbered events of the daemons' structured log.
 
-Each event has a number that never changes its meaning; ``docs/events.md`` describes
-them all and a test holds the two together. Hundreds group by subject: 1xx process,
-2xx request, 3xx scheduling, 4xx membership and links, 5xx configuration, 6xx store,
-7xx leases and orders.
+The meaning of a number never changes. ``docs/events.md`` lists all events, and a test
+compares it with this module. The hundreds group events by subject: 1xx process, 2xx
+request, 3xx scheduling, 4xx membership and links, 5xx configuration, 6xx store, 7xx
+leases and orders.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Event(enum.IntEnum):
-    """Number of each event; the name is its short text."""
+    """Event numbers; the lower-case name is the message type in the log."""
 
     SERVICE_STARTED = 101
     SERVICE_STOPPED = 102
@@ -92,12 +92,12 @@
 
 
 def open_log(file: IO[str]) -> logwriter.LogWriter:
-    """Write all events to a file, one JSON object a line.
+    """Log all events to a file, one JSON object per line.
 
     Returns
     -------
     LogWriter
-        To be told to write out before the file is closed.
+        Buffers lines; call ``write_queued`` before the file is closed.
     """
     writer = logwriter.LogWriter(file)
     eliot.to_file(writer)
@@ -105,5 +105,5 @@
 
 
 def log(event: Event, **fields: object) -> None:
-    """Write one event with its number, its name and further fields."""
+    """Log an event with its number, message type and fields."""
     eliot.log_message(message_type=event.name.lower(), number=int(event), **fields)
--- a/celeryspan/kernel.py
+++ b/celeryspan/kernel.py
@@ -1,8 +1,8 @@
 """A micro-kernel: starts services in order, finds them by name, stops them in reverse.
 
-A service is a class whose constructor takes the kernel. It is put into the registry
-by :func:`register` together with the names of the services that it needs; the kernel
-works out the order of start from these.
+A service is a class whose constructor takes the kernel. :func:`register` adds it to the
+registry with the names of the services that it depends on; the kernel derives the start
+order from these dependencies.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 class Service(Protocol):
-    """What the kernel expects of a service."""
+    """Interface of a service that the kernel can run."""
 
     def start(self) -> None:
-        """Begin work; raise if that is not possible."""
+        """Start the service, or raise an exception if it cannot run."""
 
     def stop(self) -> None:
-        """End work and give back what :meth:`start` took."""
+        """Stop the service and release what :meth:`start` acquired."""
 
 
 class Registration:
-    """A service's factory and the names of the services that it needs."""
+    """The factory of a service and the names of its dependencies."""
 
     def __init__(
         self, factory: Callable[[Kernel], Service], needs: tuple[str, ...]
@@ -42,11 +42,17 @@
 def register(
     name: str, *, needs: Iterable[str] = ()
 ) -> Callable[[ServiceClass], ServiceClass]:
-    """Put a service class into the registry under a name."""
+    """Register a service class under a name.
+
+    Parameters
+    ----------
+    needs : iterable of str
+        Names of the services that must be started before this one.
+    """
 
     def decorate(factory: ServiceClass) -> ServiceClass:
         if name in REGISTRY:
-            raise ValueError(f"service {name!r} is registered twice")
+            raise ValueError(f"service {name!r} is already registered")
         REGISTRY[name] = Registration(factory, tuple(needs))
         return factory
 
@@ -54,14 +60,14 @@
 
 
 class Kernel:
-    """Holds the running services of one process.
+    """Runs the services of a router.
 
     Parameters
     ----------
     settings : object
-        The validated settings of the process, for services to read.
+        The validated settings, which services read.
     registry : dict, optional
-        Registrations to choose from; the global registry by default.
+        Available services by name; the global registry by default.
     """
 
     def __init__(
@@ -73,12 +79,12 @@
         self._started: list[str] = []
 
     def find(self, name: str) -> Service:
-        """Return the running service of this name.
+        """Return the service with this name.
 
         Raises
         ------
         LookupError
-            If no such service has been made.
+            If the kernel has not created such a service, or has stopped.
         """
         try:
             return self._services[name]
@@ -86,7 +92,7 @@
             raise LookupError(f"no service named {name!r}") from None
 
     def collect_reports(self) -> dict[str, dict[str, object]]:
-        """Return what each service that has a ``report`` says of itself."""
+        """Return the report of each service that has a ``report`` method, by name."""
         reports: dict[str, dict[str, object]] = {}
         for name, service in list(self._services.items()):
             report = getattr(service, "report", None)
@@ -95,12 +101,13 @@
         return reports
 
     def start(self, names: Iterable[str]) -> None:
-        """Start the named services and all that they need, in order.
+        """Start the named services and their dependencies, in dependency order.
 
         Raises
         ------
         StartError
-            If a service fails; those already started have been stopped.
+            If a service is unknown or fails to start; services that were already
+            started are stopped.
         """
         for name in self._order(names):
             try:
@@ -121,7 +128,7 @@
         Raises
         ------
         ExceptionGroup
-            Of the errors of those that failed to stop, after all were asked to.
+            If services failed to stop; raised after all others were stopped.
         """
         failures: list[Exception] = []
         while self._started:
@@ -133,9 +140,10 @@
             events.log(events.Event.SERVICE_STOPPED, service=name)
         self._services.clear()
         if failures:
-            raise ExceptionGroup("services that failed to stop", failures)
+            raise ExceptionGroup("services failed to stop", failures)
 
     def _order(self, names: Iterable[str]) -> list[str]:
+        """Return services and their dependencies in start order."""
         graph: dict[str, tuple[str, ...]] = {}
         pending = list(names)
         while pending:
--- a/celeryspan/logwriter.py
+++ b/celeryspan/logwriter.py
@@ -1,8 +1,8 @@
-"""Writes log lines on a thread of its own, many at once.
+"""Writes log lines to a file in batches, on a background thread.
 
-A write to a file gives up the interpreter's lock, and a thread that then wants it back
-waits behind all others that run. With four lines a request this was more than half of
-the time that a router spent on a plain call.
+A write to a file releases the global interpreter lock, and the writing thread then
+competes with all running threads to acquire it again. With four lines a request,
+synchronous writes took more than half of the time that a router spent on a plain call.
 """
 
 from __future__ import annotations
@@ -13,25 +13,24 @@
 import time
 from typing import IO
 
-# How long a line waits at most before it is written, in seconds: what a process that
-# is killed without warning may lose.
-FLUSH_SECONDS = 0.05
-
-# Lines that wait at most, about 8 MB. Further ones are dropped and counted: a reader of
-# the log that stops must neither fill the memory nor stop the threads that log.
-LINES_MAX = 20_000
+# Maximum time before a line is written, in seconds; a process that is killed loses at
+# most the lines of this period.
+FLUSH_INTERVAL_SECONDS = 0.05
 
+# Maximum number of queued lines, about 8 MB. Further lines are dropped and counted, so
+# that a stalled reader of the log neither exhausts memory nor blocks threads that log.
+QUEUED_LINES_MAX = 20_000
 
 DROPPED_LINE = '{"number":108,"message_type":"log_lines_dropped","count":%d}\n'
 
 
 class LogWriter:
-    """A text file whose writes return at once.
+    """A text file whose writes are queued and never block.
 
     Parameters
     ----------
     file : IO[str]
-        Where the lines go in the end.
+        File that the background thread writes the lines to.
     """
 
     def __init__(self, file: IO[str]) -> None:
@@ -39,27 +38,27 @@
         self._lines: collections.deque[str] = collections.deque()
         self._lock = threading.Lock()
         self._dropped = 0
-        self._some = threading.Event()
+        self._has_lines = threading.Event()
         threading.Thread(target=self._run, name="log", daemon=True).start()
-        atexit.register(self.write_out)
+        atexit.register(self.write_queued)
 
     def write(self, text: str) -> int:
-        """Take a line; raises TypeError for bytes, as text files do."""
+        """Queue a line; raises TypeError for bytes, as text files do."""
         if not isinstance(text, str):
-            raise TypeError("expected text")
-        if len(self._lines) >= LINES_MAX:
+            raise TypeError(f"expected str, found {type(text).__name__}")
+        if len(self._lines) >= QUEUED_LINES_MAX:
             self._dropped += 1
         else:
             self._lines.append(text)
-            if not self._some.is_set():
-                self._some.set()
+            if not self._has_lines.is_set():
+                self._has_lines.set()
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: lines are written within FLUSH_SECONDS."""
+        """Do nothing: lines are written within FLUSH_INTERVAL_SECONDS."""
 
-    def write_out(self) -> None:
-        """Write all lines that wait."""
+    def write_queued(self) -> None:
+        """Write all queued lines."""
         with self._lock:
             lines = [self._lines.popleft() for _ in range(len(self._lines))]
             if self._dropped:
@@ -71,7 +70,7 @@
 
     def _run(self) -> None:
         while not self._file.closed:
-            self._some.wait()
-            time.sleep(FLUSH_SECONDS)
-            self._some.clear()
-            self.write_out()
+            self._has_lines.wait()
+            time.sleep(FLUSH_INTERVAL_SECONDS)
+            self._has_lines.clear()
+            self.write_queued()
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events and the code hold together."""
+"""Compares the event catalogue in ``docs/events.md`` with the code."""
 
 from __future__ import annotations
 
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -1,4 +1,4 @@
-"""The kernel's order of start and stop."""
+"""The kernel's start and stop order, and a failed start."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def make_registry(trace: list[str], failing: str = "") -> dict:
-    """Return services c -> b -> a that write what happens to them."""
+    """Return services c -> b -> a that append their starts and stops to a trace."""
 
     def make(name: str) -> type:
         class Recorder:
@@ -29,7 +29,7 @@
     return {name: kernel.Registration(make(name), needs[name]) for name in needs}
 
 
-def test_starts_in_order_of_need_and_stops_in_reverse() -> None:
+def test_starts_in_dependency_order_and_stops_in_reverse() -> None:
     trace: list[str] = []
     box = kernel.Kernel(None, make_registry(trace))
     box.start(["c"])
@@ -37,7 +37,7 @@
     assert trace == ["start a", "start b", "start c", "stop c", "stop b", "stop a"]
 
 
-def test_failed_start_names_the_service_and_stops_the_rest() -> None:
+def test_failed_start_names_the_service_and_stops_the_others() -> None:
     trace: list[str] = []
     box = kernel.Kernel(None, make_registry(trace, failing="b"))
     with pytest.raises(errors.StartError, match=r"'b'.*address in use"):
--- a/tests/test_logwriter.py
+++ b/tests/test_logwriter.py
@@ -1,4 +1,4 @@
-"""Log lines reach their file whole and in order."""
+"""The background log writer: order, bounded queue and refused input."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from celeryspan import logwriter
 
 
-def test_lines_of_many_threads_come_whole_and_in_each_threads_order() -> None:
+def test_lines_are_complete_and_ordered_within_each_thread() -> None:
     file = io.StringIO()
     writer = logwriter.LogWriter(file)
 
@@ -24,33 +24,31 @@
         thread.start()
     for thread in threads:
         thread.join()
-    writer.write_out()
+    writer.write_queued()
     lines = [line.split() for line in file.getvalue().splitlines()]
     for name in "abc":
         assert [int(number) for who, number in lines if who == name] == [*range(200)]
 
 
-def test_lines_that_wait_are_bounded_and_those_dropped_are_counted(
-    monkeypatch,
-) -> None:
-    """Whatever reads the log has stopped.
+def test_queue_is_bounded_and_dropped_lines_are_counted(monkeypatch) -> None:
+    """Guards against a stalled reader of the log.
 
-    A process that keeps all lines runs out of memory; one whose threads write them
-    stops with the reader.
+    With an unbounded queue the process would run out of memory; with synchronous writes
+    its threads would block.
     """
-    monkeypatch.setattr(logwriter, "LINES_MAX", 10)
-    monkeypatch.setattr(logwriter, "FLUSH_SECONDS", 3600.0)
+    monkeypatch.setattr(logwriter, "QUEUED_LINES_MAX", 10)
+    monkeypatch.setattr(logwriter, "FLUSH_INTERVAL_SECONDS", 3600.0)
     file = io.StringIO()
     writer = logwriter.LogWriter(file)
     for _ in range(25):
         writer.write("line\n")
     assert file.getvalue() == ""
-    writer.write_out()
+    writer.write_queued()
     *lines, last = file.getvalue().splitlines()
     assert lines == ["line"] * 10
     assert json.loads(last)["count"] == 15
 
 
-def test_bytes_are_refused_as_by_a_text_file() -> None:
+def test_bytes_raise_type_error() -> None:
     with pytest.raises(TypeError):
         logwriter.LogWriter(io.StringIO()).write(b"line\n")
