--- a/celeryspan/loglines.py
+++ b/celeryspan/loglines.py
@@ -1,8 +1,8 @@
-"""Reads the log lines of many routers, as they come out of collectors and archives.
+"""Parses the log lines of several routers as log collectors and archives store them.
 
-Lines are cut, doubled and interleaved there, and some collectors write a time and a
-name before each. What can't be read is counted and left out: a reader that stops at the
-first cut line tells nothing about the incident behind it.
+Stored lines may be truncated, duplicated and interleaved, and some collectors prefix
+each with a timestamp and a process name. Unreadable lines are counted and skipped: a
+parser that stops at the first truncated line would hide the incident behind it.
 """
 
 from __future__ import annotations
@@ -16,24 +16,25 @@
 
 from celeryspan import errors
 
-PREFIX = re.compile(r"^\s*(?:[-\d.]+\s+)?(\S+)\s+$")
-"""A time, if there is one, and the name of the process, before the object."""
+LINE_PREFIX = re.compile(r"^\s*(?:[-\d.]+\s+)?(\S+)\s+$")
+"""A collector's prefix before the JSON object: an optional time and a process name."""
 
-BORDER = re.compile(r"""(?<=\})(?=\s*(?:[^\s{]+\s+){0,2}\{"number")""")
-"""Where one object ends and the next line begins, with what stands before it."""
+LINE_BOUNDARY = re.compile(r"""(?<=\})(?=\s*(?:[^\s{]+\s+){0,2}\{"number")""")
+"""Boundary between two lines that were joined without a newline: the end of one object
+and the next line with its prefix."""
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One event as a router wrote it.
+    """One logged event of a router.
 
     Attributes
     ----------
     at : float
-        Time of day on that router's clock, in seconds; clocks differ between VMs.
+        Unix time on that router's clock, in seconds; clocks differ between VMs.
     number : int
-        Of the event, see ``docs/events.md``.
+        Event number, see ``docs/events.md``.
     fields : mapping
-        What the line says beside these.
+        All fields of the line.
     """
 
     router: str
@@ -43,27 +44,28 @@
 
     @property
     def request(self) -> str:
-        """Id of the request that the line is about, or the empty text."""
+        """Id of the request that the line refers to, or an empty string."""
         found = self.fields.get("request")
         return found if isinstance(found, str) else ""
 
 
 class Log(msgspec.Struct):
-    """Lines of several routers, and how many could not be read."""
+    """Lines of several routers, and the number of unreadable lines."""
 
     lines: list[Line] = msgspec.field(default_factory=list)
     unreadable: int = 0
 
 
 def read_files(paths: Iterable[str]) -> Log:
-    """Return the lines of log files, in order of their times.
+    """Return the lines of log files, sorted by time.
 
-    A file's name without its ending names the router where the lines don't.
+    A line without a process name is attributed to the router that the file is named
+    after, without the file's suffix.
 
     Raises
     ------
     errors.InputError
-        If a file can't be read.
+        If a file cannot be read.
     """
     log = Log()
     for path in paths:
@@ -74,12 +76,12 @@
                 f"expected a log file, found {error.strerror or error}", peer=path
             ) from error
         read_text(text, pathlib.Path(path).stem, log)
-    log.lines = sorted(drop_doubles(log.lines), key=lambda each: each.at)
+    log.lines = sorted(drop_duplicates(log.lines), key=lambda each: each.at)
     return log
 
 
-def drop_doubles(lines: Iterable[Line]) -> Iterator[Line]:
-    """Yield each line once; collectors deliver some twice."""
+def drop_duplicates(lines: Iterable[Line]) -> Iterator[Line]:
+    """Yield each line once: collectors may deliver a line twice."""
     seen = set()
     for line in lines:
         key = (line.router, line.at, line.number, line.request)
@@ -89,29 +91,29 @@
 
 
 def read_text(text: str, router: str, log: Log) -> None:
-    """Add the lines of one text to a log."""
-    for part in split(text):
-        found = parse(part, router)
+    """Parse the lines of a text and append them to a log."""
+    for part in split_lines(text):
+        found = parse_line(part, router)
         if found is None:
             log.unreadable += 1
         else:
             log.lines.append(found)
 
 
-def split(text: str) -> Iterator[str]:
-    """Yield what may be a line; two that run into each other become two."""
+def split_lines(text: str) -> Iterator[str]:
+    """Yield the lines of a text, splitting those that were joined without a newline."""
     for line in text.splitlines():
-        yield from filter(str.strip, BORDER.split(line))
+        yield from filter(str.strip, LINE_BOUNDARY.split(line))
 
 
-def parse(text: str, router: str) -> Line | None:
-    """Return one line, or None if it can't be read."""
-    place = text.find("{")
-    if place < 0:
+def parse_line(text: str, router: str) -> Line | None:
+    """Return a parsed line, or None if it is unreadable."""
+    start = text.find("{")
+    if start < 0:
         return None
-    named = PREFIX.match(text[:place])
+    prefix = LINE_PREFIX.match(text[:start])
     try:
-        found = json.loads(text[place:])
+        found = json.loads(text[start:])
     except ValueError:
         return None
     if not isinstance(found, dict):
@@ -119,4 +121,4 @@
     number, at = found.get("number"), found.get("timestamp")
     if type(number) is not int or not isinstance(at, int | float):
         return None
-    return Line(named.group(1) if named else router, float(at), number, found)
+    return Line(prefix.group(1) if prefix else router, float(at), number, found)
--- a/celeryspan/metrics.py
+++ b/celeryspan/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one router: histograms for each client account and service, and gauges.
+"""The kernel service ``metrics``: Prometheus metrics of one router.
 
-Each router has a registry of its own, so that several in one process stay apart. The
-kernel knows the metrics as ``metrics``; other services find them there.
+Histograms are labelled by service and client account. Each router has its own registry,
+so that several routers can run in one process.
 """
 
 from __future__ import annotations
@@ -16,61 +16,82 @@
 from celeryspan import ids, kernel, states
 
 PAIRS_MAX = 400
-"""Greatest number of (service, client account) pairs with series of their own.
+"""Maximum number of (service, client account) pairs that have their own series.
 
-Measured in CPython 3.11 with 400 pairs: a pair holds 81 series, 20 KiB in the process
-and 7 KB of each scrape; a scrape then takes 0.16 s of a core. 400 pairs are thus 8 MiB
-and, scraped every 15 s, 1.1% of a core. The accounts of a firm today make 32 pairs.
+In CPython 3.11 a pair has 81 series, which take 20 KiB of memory and 7 KB of each
+scrape. With 400 pairs that is 8 MiB, and a scrape takes 0.16 s of a core: 1.1% of it at
+a scrape interval of 15 s. The accounts of a firm make 32 pairs today.
 """
 
 SERVERS_MAX = 2000
-"""Greatest number of backend servers with gauges of their own; a router is home of
-10,000 / 1,300, about 8, and the rest is room for fleets with few routers."""
+"""Maximum number of backend servers that have their own gauges. With 10,000 servers and
+1,300 routers a router is the home of about 8; the margin is for fleets with few
+routers."""
 
 OVERFLOW = "_other"
-"""Label value of all that comes after the bound; no account can have this name."""
+"""Label value beyond the limits above; no account can have this name."""
 
-# The time at which a series was made would be one more series for each of them.
+# The creation time of each series would be exported as an additional series.
 prometheus_client.disable_created_metrics()
 
 CONTENT_TYPE = exposition.CONTENT_TYPE_LATEST
 
-SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120)
-"""Bounds of waiting and whole times: from a loopback call to two minutes."""
-
-TOKEN_SECONDS = (0.002, 0.005, 0.01, 0.02, 0.03, 0.046, 0.06, 0.1, 0.2, 0.5, 1, 5)
-"""Bounds of times between tokens, with the aim of 46 ms among them."""
-
-FIRST_TOKEN_SECONDS = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.9, 2.5, 5, 10, 30, 60)
-"""Bounds of times to the first token, with the aim of 1.9 s among them."""
-
-COST_UNITS = (1, 4, 16, 64, 128, 256, 512, 1024, 2048, 4096, 8192, 32768)
-"""Bounds of costs: 1 is a plain call, the rest are tokens of answers."""
+DURATION_BUCKETS = (
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.25,
+    0.5,
+    1,
+    2.5,
+    5,
+    10,
+    30,
+    60,
+    120,
+)
+"""Histogram buckets for waits and request durations, in seconds: from a loopback call
+to two minutes."""
+
+TOKEN_GAP_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.03, 0.046, 0.06, 0.1, 0.2, 0.5, 1, 5)
+"""Histogram buckets for the time between tokens, in seconds, including the target of
+46 ms."""
+
+FIRST_TOKEN_BUCKETS = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 1.9, 2.5, 5, 10, 30, 60)
+"""Histogram buckets for the time to the first token, in seconds, including the target
+of 1.9 s."""
+
+COST_BUCKETS = (1, 4, 16, 64, 128, 256, 512, 1024, 2048, 4096, 8192, 32768)
+"""Histogram buckets for request costs, in units: 1 for a call of a plain service, and
+the tokens of the answer for a model."""
 
 
 CONTROL_SERVICES = ("links", "datagrams")
-"""Services of the kernel that report bytes and messages between routers."""
+"""Kernel services that report bytes and messages between routers."""
 
 DIRECTIONS = {"sent": "out", "received": "in"}
-"""Label value of each direction in their reports."""
+"""Label value of each direction in the reports of these services."""
 
 
 class ControlTraffic(registry.Collector):
-    """Reads at each scrape what the links and datagrams have counted.
+    """Collects the traffic counters of links and datagrams at each scrape.
 
-    Counting twice, there and here, would cost a lock for each message.
+    Prometheus counters that are updated with each message would cost an additional lock
+    for each.
 
     Parameters
     ----------
     box : Kernel or None
-        Finds the services; without it nothing is collected.
+        The kernel whose services are read; without it nothing is collected.
     """
 
     def __init__(self, box: kernel.Kernel | None) -> None:
         self._box = box
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yield bytes and messages by direction and kind."""
+        """Yield the counters of bytes and messages, by direction and kind of message."""
         totals: collections.Counter[tuple[str, str, str]] = collections.Counter()
         for report in self._find_reports():
             for name, direction in DIRECTIONS.items():
@@ -93,17 +114,18 @@
             try:
                 yield self._box.find(name).report()
             except LookupError:
-                continue  # The service has not been made yet, or is stopped.
+                continue  # The service has not been created yet, or has stopped.
 
 
 @kernel.register("metrics")
 class Metrics:
-    """Counts and measures what one router does.
+    """Records the metrics of one router.
 
     Parameters
     ----------
     box : Kernel, optional
-        The kernel that starts this service; finds what counts control traffic.
+        The kernel that starts this service; used to find the services that count
+        control traffic.
     """
 
     def __init__(self, box: kernel.Kernel | None = None) -> None:
@@ -111,20 +133,24 @@
         self._pairs: dict[tuple[str, str], tuple[str, str]] = {}
         self._servers: set[str] = set()
         self._lock = threading.Lock()
-        self._wait = self._make_histogram("wait_seconds", "Wait for a slot.", SECONDS)
+        self._wait = self._make_histogram(
+            "wait_seconds", "Wait for a slot.", DURATION_BUCKETS
+        )
         self._first_token = self._make_histogram(
             "first_token_seconds",
             "Time from acceptance to the first token.",
-            FIRST_TOKEN_SECONDS,
+            FIRST_TOKEN_BUCKETS,
         )
         self._token_gap = self._make_histogram(
-            "token_gap_seconds", "Time between two parts of a stream.", TOKEN_SECONDS
+            "token_gap_seconds",
+            "Time between two parts of a stream.",
+            TOKEN_GAP_BUCKETS,
         )
-        self._whole = self._make_histogram(
-            "request_seconds", "Time from acceptance to the end.", SECONDS
+        self._duration = self._make_histogram(
+            "request_seconds", "Time from acceptance to the end.", DURATION_BUCKETS
         )
         self._cost = self._make_histogram(
-            "request_cost_units", "True cost of a request.", COST_UNITS
+            "request_cost_units", "True cost of a request.", COST_BUCKETS
         )
         self._outcomes = prometheus_client.Counter(
             "celeryspan_requests",
@@ -169,28 +195,32 @@
         self.registry.register(ControlTraffic(box))
 
     def start(self) -> None:
-        """Do nothing: metrics are ready once made."""
+        """Do nothing: the metrics are created by the constructor."""
 
     def stop(self) -> None:
-        """Do nothing: the last values stay readable."""
+        """Do nothing: the last values can still be read."""
 
     def observe_wait(
         self, service: ids.ServiceId, account: ids.AccountId, seconds: float
     ) -> None:
-        """Note how long a request waited for its slot."""
-        self._wait.labels(*self._bound_pair(service, account)).observe(seconds)
+        """Record how long a request waited for a slot."""
+        self._wait.labels(*self._get_pair_labels(service, account)).observe(seconds)
 
     def observe_first_token(
         self, service: ids.ServiceId, account: ids.AccountId, seconds: float
     ) -> None:
-        """Note the time from acceptance of a request to its first token."""
-        self._first_token.labels(*self._bound_pair(service, account)).observe(seconds)
+        """Record the time from acceptance of a request to its first token."""
+        self._first_token.labels(*self._get_pair_labels(service, account)).observe(
+            seconds
+        )
 
     def observe_token_gap(
         self, service: ids.ServiceId, account: ids.AccountId, seconds: float
     ) -> None:
-        """Note the time between two parts of one stream."""
-        self._token_gap.labels(*self._bound_pair(service, account)).observe(seconds)
+        """Record the time between two parts of a stream."""
+        self._token_gap.labels(*self._get_pair_labels(service, account)).observe(
+            seconds
+        )
 
     def observe_request(
         self,
@@ -200,65 +230,66 @@
         seconds: float,
         cost: float,
     ) -> None:
-        """Note the end of a request: its outcome, whole time and true cost in units."""
-        pair = self._bound_pair(service, account)
+        """Record the outcome of a request, its duration and its actual cost in units."""
+        pair = self._get_pair_labels(service, account)
         self._outcomes.labels(*pair, outcome.value).inc()
-        self._whole.labels(*pair).observe(seconds)
+        self._duration.labels(*pair).observe(seconds)
         self._cost.labels(*pair).observe(cost)
 
     def set_backlog(
         self, service: ids.ServiceId, account: ids.AccountId, waiting: int
     ) -> None:
-        """Note how many requests of an account wait.
+        """Set the number of waiting requests of an account.
 
-        Accounts beyond the bound share one gauge, which shows the last one set.
+        Accounts beyond the limit share one gauge, which holds the last value set.
         """
-        self._backlog.labels(*self._bound_pair(service, account)).set(waiting)
+        self._backlog.labels(*self._get_pair_labels(service, account)).set(waiting)
 
     def count_refusal(self, code: str) -> None:
-        """Count a refused request; codes are those of the catalogue of outcomes."""
+        """Count a refused request by its error code."""
         self._refusals.labels(code).inc()
 
     def count_server_crash(self, evidence: str) -> None:
-        """Count a crash of a backend server, by what showed it."""
+        """Count a crash of a backend server by the evidence for it."""
         self._crashes.labels(evidence).inc()
 
     def set_suspects(self, counts: Mapping[str, int]) -> None:
-        """Note how many requests are suspected, isolated and in quarantine."""
+        """Set the numbers of suspected, isolated and quarantined requests."""
         for standing, count in counts.items():
             self._suspects.labels(standing).set(count)
 
     def set_connections(self, idle: int, busy: int, requests_max: int) -> None:
-        """Note the connections of callers, and how many requests are taken at once."""
+        """Set the numbers of callers' connections and the limit on requests in progress."""
         self._connections.labels("idle").set(idle)
         self._connections.labels("busy").set(busy)
         self._requests_max.set(requests_max)
 
     def set_window(self, server: ids.ServerId, slots: int) -> None:
-        """Note the concurrency window of a backend server whose home this router is."""
-        self._window.labels(self._bound_server(server)).set(slots)
+        """Set the concurrency window of a backend server whose home is this router."""
+        self._window.labels(self._get_server_label(server)).set(slots)
 
     def set_grants(self, server: ids.ServerId, held: int) -> None:
-        """Note how many grants of a backend server are in use."""
-        self._grants.labels(self._bound_server(server)).set(held)
+        """Set the number of grants of a backend server that are in use."""
+        self._grants.labels(self._get_server_label(server)).set(held)
 
     def forget_server(self, server: ids.ServerId) -> None:
-        """Drop the gauges of a backend server whose home is elsewhere now."""
+        """Remove the gauges of a backend server that moved to another home."""
         with self._lock:
             self._servers.discard(server)
         self._window.remove_by_labels({"server": server})
         self._grants.remove_by_labels({"server": server})
 
     def render(self) -> bytes:
-        """Return all metrics in the text format, of type :data:`CONTENT_TYPE`."""
+        """Return all metrics in the exposition format :data:`CONTENT_TYPE`."""
         return prometheus_client.generate_latest(self.registry)
 
-    def _bound_pair(self, service: str, account: str) -> tuple[str, str]:
-        """Return the labels of a pair, so that floods of names can't fill the memory.
+    def _get_pair_labels(self, service: str, account: str) -> tuple[str, str]:
+        """Return the label values of a pair, limiting the number of series.
 
-        Without a bound each new client account adds series for good, in every router;
-        it shows as growing memory and scrapes that time out. Pairs that come first
-        keep their series; later accounts share :data:`OVERFLOW` for each service.
+        Series are never removed. Without a limit each new client account would add some
+        to every router, until memory is exhausted and scrapes time out. The first
+        :data:`PAIRS_MAX` pairs keep their own series; the accounts of later ones share
+        :data:`OVERFLOW`, one for each service.
         """
         pair = self._pairs.get((service, account))
         if pair is not None:
@@ -268,7 +299,8 @@
                 return service, OVERFLOW
             return self._pairs.setdefault((service, account), (service, account))
 
-    def _bound_server(self, server: str) -> str:
+    def _get_server_label(self, server: str) -> str:
+        """Return the label value of a server, limiting the number of series."""
         with self._lock:
             if server not in self._servers and len(self._servers) >= SERVERS_MAX:
                 return OVERFLOW
@@ -276,19 +308,19 @@
             return server
 
     def _make_histogram(
-        self, name: str, text: str, bounds: tuple[float, ...]
+        self, name: str, documentation: str, buckets: tuple[float, ...]
     ) -> prometheus_client.Histogram:
         return prometheus_client.Histogram(
             f"celeryspan_{name}",
-            text,
+            documentation,
             ["service", "account"],
-            buckets=bounds,
+            buckets=buckets,
             registry=self.registry,
         )
 
     def _make_gauge(
-        self, name: str, text: str, labels: list[str]
+        self, name: str, documentation: str, labels: list[str]
     ) -> prometheus_client.Gauge:
         return prometheus_client.Gauge(
-            f"celeryspan_{name}", text, labels, registry=self.registry
+            f"celeryspan_{name}", documentation, labels, registry=self.registry
         )
--- a/tests/test_loglines.py
+++ b/tests/test_loglines.py
@@ -1,4 +1,4 @@
-"""Logs as they come out of collectors: cut, doubled, interleaved, with names before."""
+"""Logs from collectors: truncated, duplicated, interleaved and prefixed lines."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from celeryspan import errors, loglines
 
 
-def write(number: int, at: float, **fields: object) -> str:
+def make_line(number: int, at: float, **fields: object) -> str:
     return json.dumps({"number": number, **fields, "timestamp": at})
 
 
-def test_lines_of_several_files_come_in_order_of_time(tmp_path: pathlib.Path) -> None:
+def test_lines_of_several_files_are_sorted_by_time(tmp_path: pathlib.Path) -> None:
     for name, times in (("edge-1", (3.0, 1.0)), ("edge-2", (2.0,))):
-        text = "\n".join(write(203, at, request="r") for at in times)
+        text = "\n".join(make_line(203, at, request="r") for at in times)
         (tmp_path / f"{name}.log").write_text(text)
     log = loglines.read_files(str(path) for path in tmp_path.iterdir())
     assert [(line.router, line.at) for line in log.lines] == [
@@ -29,40 +29,42 @@
     assert log.unreadable == 0
 
 
-def test_time_and_name_before_a_line_name_the_router() -> None:
+def test_prefix_of_a_line_names_the_router() -> None:
     log = loglines.Log()
-    text = f"  24.787 edge-7 {write(202, 5.0)}\nedge-8 {write(202, 6.0)}"
+    text = f"  24.787 edge-7 {make_line(202, 5.0)}\nedge-8 {make_line(202, 6.0)}"
     loglines.read_text(text, "file", log)
     assert [line.router for line in log.lines] == ["edge-7", "edge-8"]
 
 
-def test_two_lines_that_ran_into_each_other_are_both_read() -> None:
-    """A process ended in the middle of a write; the next one's line follows at once."""
+def test_lines_joined_without_a_newline_are_both_read() -> None:
+    """A process that ends during a make_line leaves a line without its newline."""
     log = loglines.Log()
-    loglines.read_text(write(203, 1.0) + "  9.1 edge-2 " + write(204, 2.0), "a", log)
+    loglines.read_text(
+        make_line(203, 1.0) + "  9.1 edge-2 " + make_line(204, 2.0), "a", log
+    )
     assert [line.number for line in log.lines] == [203, 204]
 
 
-def test_cut_line_is_counted_and_the_others_are_read() -> None:
+def test_truncated_line_is_counted_and_others_are_read() -> None:
     log = loglines.Log()
-    whole = write(203, 1.0, request="r")
+    whole = make_line(203, 1.0, request="r")
     loglines.read_text(f"{whole[:30]}\n{whole}\n{whole[30:]}", "edge-1", log)
     assert (len(log.lines), log.unreadable) == (1, 2)
 
 
-def test_line_that_was_delivered_twice_counts_once(tmp_path: pathlib.Path) -> None:
+def test_duplicated_line_is_read_once(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "edge-1.log"
-    path.write_text(f"{write(203, 1.0)}\n{write(203, 1.0)}\n")
+    path.write_text(f"{make_line(203, 1.0)}\n{make_line(203, 1.0)}\n")
     assert len(loglines.read_files([str(path)]).lines) == 1
 
 
-def test_file_that_is_missing_is_named(tmp_path: pathlib.Path) -> None:
+def test_missing_file_is_named_in_the_error(tmp_path: pathlib.Path) -> None:
     with pytest.raises(errors.InputError, match=r"nope.log: expected a log file"):
         loglines.read_files([str(tmp_path / "nope.log")])
 
 
 @hypothesis.given(strategies.text(max_size=300))
-def test_any_text_is_read_without_an_error(text: str) -> None:
+def test_arbitrary_text_raises_no_error(text: str) -> None:
     log = loglines.Log()
-    loglines.read_text(text + "\n" + write(101, 1.0), "edge-1", log)
+    loglines.read_text(text + "\n" + make_line(101, 1.0), "edge-1", log)
     assert log.lines[-1].number == 101
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Histograms for each client account and service, and their bound."""
+"""Histograms by service and client account, gauges, and the limit on series."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 ACCOUNT = ids.AccountId("tower")
 
 
-def test_request_shows_in_every_histogram() -> None:
+def test_request_is_recorded_in_every_histogram() -> None:
     counts = metrics.Metrics()
     counts.observe_wait(GATE, ACCOUNT, 0.2)
     counts.observe_first_token(GATE, ACCOUNT, 0.3)
@@ -28,7 +28,7 @@
     assert cost == 300
 
 
-def test_gauges_of_servers_go_with_their_home() -> None:
+def test_gauges_of_a_server_are_removed_when_its_home_moves() -> None:
     counts = metrics.Metrics()
     server = ids.ServerId("gate-1")
     counts.set_backlog(GATE, ACCOUNT, 7)
@@ -42,8 +42,8 @@
     assert 'server="gate-1"' not in counts.render().decode()
 
 
-class Counting:
-    """A service that reports bytes and messages as links and datagrams do."""
+class TrafficReporter:
+    """A service with the same traffic report as links and datagrams."""
 
     def __init__(self, _box: kernel.Kernel) -> None:
         pass
@@ -59,9 +59,9 @@
         return {"refused": 0, "sent": {"grant": grant}, "received": {"probe": grant}}
 
 
-def test_control_traffic_of_links_and_datagrams_adds_up() -> None:
+def test_control_traffic_sums_links_and_datagrams() -> None:
     names = ("links", "datagrams")
-    made = {name: kernel.Registration(Counting, ()) for name in names}
+    made = {name: kernel.Registration(TrafficReporter, ()) for name in names}
     made["metrics"] = kernel.Registration(metrics.Metrics, ())
     box = kernel.Kernel(None, made)
     box.start(["metrics"])
@@ -72,11 +72,11 @@
     assert 'celeryspan_control_messages_total{direction="in",kind="probe"} 4.0' in text
 
 
-def test_accounts_beyond_the_bound_share_a_label() -> None:
-    """Thousands of client accounts use one router over its life.
+def test_accounts_beyond_the_limit_share_a_label() -> None:
+    """Guards against series that grow with the number of client accounts.
 
-    A user would see scrapes time out and the router run out of memory, because each
-    new account adds series that are never given back.
+    Each new account adds series that are never removed; with thousands of accounts
+    scrapes time out and the router runs out of memory.
     """
     counts = metrics.Metrics()
     for place in range(metrics.PAIRS_MAX + 50):
@@ -88,7 +88,7 @@
     assert counts.registry.get_sample_value(name, first) == 1
 
 
-def test_routers_in_one_process_stay_apart() -> None:
+def test_routers_in_one_process_have_separate_metrics() -> None:
     left, right = metrics.Metrics(), metrics.Metrics()
     left.set_backlog(GATE, ACCOUNT, 1)
     assert "tower" not in right.render().decode()
