--- a/bench/faultcallers.py
+++ b/bench/faultcallers.py
@@ -152,7 +152,7 @@
                     body=body,
                     headers={**fields, "Connection": "close"},
                 )
-            except client.NOT_SENT_ERRORS:
+            except client.CONNECTION_ERRORS:
                 self.book.drop(address)
 
 
--- a/celeryspan/client.py
+++ b/celeryspan/client.py
@@ -1,9 +1,9 @@
-"""The caller's library: ask a router fleet, and repeat only what is safe.
+"""The client library: sends requests to a router fleet with safe retries.
 
-A :class:`Client` asks the routers which addresses to use, keeps the answer for as
-long as it may, changes the address on a failure, and sends each request with a
-ticket, so that a request whose answer was lost can be asked for again without
-running twice.
+A :class:`Client` asks the routers for the addresses to use, caches the list while it is
+valid and switches to another address on failure. Each request that is not safe to
+repeat carries a ticket, so that it can be retried after a lost answer without running
+twice.
 """
 
 from __future__ import annotations
@@ -19,42 +19,42 @@
 
 from celeryspan import addressbook, calls, errors, states
 
-# Longest wait for one answer of a router, in seconds.
-ANSWER_SECONDS = 60.0
-CONNECT_SECONDS = 2.0
+# Read timeout for one answer of a router, in seconds.
+READ_TIMEOUT_SECONDS = 60.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 
-# Wait before a repeat where the router names none, in seconds; each caller draws its
-# own between half and one and a half of it, so that not all come back at once.
-RETRY_SECONDS = 0.5
+# Mean delay before a retry if the router sends no Retry-After, in seconds. The actual
+# delay is random between 50% and 150% of it, so that callers do not retry in step.
+RETRY_DELAY_SECONDS = 0.5
 
-# Attempts without a clear word after which the outcome is given up as unknown.
-UNCLEAR_MAX = 4
+# Attempts with an unknown outcome after which a request is given up as unknown.
+UNKNOWN_ATTEMPTS_MAX = 4
 
 TICKET_HEADER = "Celeryspan-Ticket"
 REPEAT_HEADER = "Celeryspan-Repeat"
 ERROR_HEADER = "Celeryspan-Error"
 
-READ_BYTES = 16_384
+READ_SIZE_BYTES = 16_384
 
-KINDS = {
+ERROR_TYPES = {
     states.Outcome.RAN: errors.AnswerUnavailable,
     states.Outcome.NOT_RUN: errors.NotRun,
     states.Outcome.UNKNOWN: errors.OutcomeUnknown,
 }
 
-NOT_SENT_ERRORS = (
+CONNECTION_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete answer.
 
     Attributes
     ----------
     outcome : Outcome
-        RAN for every answer of a backend server.
+        Always RAN: the answer is that of a backend server.
     """
 
     status: int
@@ -63,19 +63,23 @@
     outcome: states.Outcome
 
     def read_json(self) -> Any:
-        """Return the body as JSON."""
+        """Return the body parsed as JSON."""
         return json.loads(self.body)
 
 
 class _Request(msgspec.Struct):
-    """One request while it is being asked for.
+    """The state of one request across its attempts.
 
     Attributes
     ----------
-    exposed : bool
-        Whether an attempt with the present ticket ended without a clear word.
-    unclear : int
-        How many attempts did.
+    deadline : float
+        Time on the monotonic clock after which no retry begins, in seconds.
+    is_safe : bool
+        Whether the method can be repeated without a ticket.
+    may_have_run : bool
+        Whether an attempt with the current ticket had an unknown outcome.
+    unknown_attempts : int
+        Number of failed attempts while that is the case.
     """
 
     method: str
@@ -83,35 +87,37 @@
     body: bytes
     headers: dict[str, str]
     deadline: float
-    safe: bool
+    is_safe: bool
     ticket: str = ""
-    exposed: bool = False
-    unclear: int = 0
+    may_have_run: bool = False
+    unknown_attempts: int = 0
 
 
 class Client:
-    """Asks a fleet of routers on behalf of one client account.
+    """Sends requests to a fleet of routers for one client account.
 
     Parameters
     ----------
     routers : sequence of str
-        Addresses ``host:port`` to begin with; one that answers is enough.
+        Initial addresses ``host:port``, of which one must be reachable.
     key : str
-        The key of the client account.
+        API key of the client account.
     seconds : float
-        Longest time for one request with all its repeats, in seconds.
+        Maximum time for a request with all its retries, in seconds.
     """
 
     def __init__(
-        self, routers: Sequence[str], key: str, *, seconds: float = ANSWER_SECONDS
+        self, routers: Sequence[str], key: str, *, seconds: float = READ_TIMEOUT_SECONDS
     ) -> None:
         self._key = key
         self._seconds = seconds
         self._pool = urllib3.PoolManager(
             retries=False,
-            timeout=urllib3.Timeout(connect=CONNECT_SECONDS, read=ANSWER_SECONDS),
+            timeout=urllib3.Timeout(
+                connect=CONNECT_TIMEOUT_SECONDS, read=READ_TIMEOUT_SECONDS
+            ),
         )
-        self._book = addressbook.AddressBook(self._pool, routers)
+        self._address_book = addressbook.AddressBook(self._pool, routers)
         self._random = random.Random()
 
     def call(
@@ -128,44 +134,46 @@
         Raises
         ------
         errors.NotRun
-            If the call was certainly not carried out.
+            If the call did not run.
         errors.OutcomeUnknown
-            If it may have been carried out.
+            If the call may have run.
         errors.AnswerUnavailable
-            If it was carried out and its answer is lost.
+            If the call ran and its answer is incomplete or no longer available.
         """
         target = f"/v1/services/{service}/{path.lstrip('/')}"
         request = self._make_request(method, target, body, headers or {})
-        return self._read_reply(self._ask(request))
+        return self._read_reply(self._send_with_retries(request))
 
     def chat(
         self, model: str, messages: Sequence[dict[str, str]], **options: object
     ) -> str:
-        """Return the whole text of a model's answer; raises as :meth:`call` does."""
-        reply = self._read_reply(self._ask(self._make_chat(model, messages, options)))
+        """Return the text of a model's answer; raises the errors of :meth:`call`."""
+        request = self._make_chat_request(model, messages, options)
+        reply = self._read_reply(self._send_with_retries(request))
         return reply.read_json()["choices"][0]["message"]["content"]
 
     def stream(
         self, model: str, messages: Sequence[dict[str, str]], **options: object
     ) -> Iterator[str]:
-        """Yield a model's answer as it is written; raises as :meth:`call` does.
+        """Yield the parts of a model's answer as they arrive.
 
-        An answer that ends before it is whole raises ``AnswerUnavailable``: what has
-        been yielded is then only a part.
+        Raises the errors of :meth:`call`. An answer that ends prematurely raises
+        ``AnswerUnavailable`` after the parts that were received.
         """
         options = {**options, "stream": True}
-        response = self._ask(self._make_chat(model, messages, options))
+        request = self._make_chat_request(model, messages, options)
+        response = self._send_with_retries(request)
         try:
             yield from _read_stream(response)
         finally:
             response.close()
 
-    def _make_chat(
+    def _make_chat_request(
         self, model: str, messages: Sequence[dict[str, str]], options: dict[str, object]
     ) -> _Request:
-        asked = {"model": model, "messages": list(messages), **options}
+        question = {"model": model, "messages": list(messages), **options}
         headers = {"Content-Type": "application/json"}
-        body = json.dumps(asked).encode()
+        body = json.dumps(question).encode()
         return self._make_request("POST", "/v1/chat/completions", body, headers)
 
     def _make_request(
@@ -177,30 +185,32 @@
             body=body,
             headers=headers | {"Authorization": f"Bearer {self._key}"},
             deadline=time.monotonic() + self._seconds,
-            safe=method in calls.SAFE_METHODS,
+            is_safe=method in calls.SAFE_METHODS,
         )
 
-    def _ask(self, request: _Request) -> urllib3.BaseHTTPResponse:
-        """Return the first answer that is no refusal worth a repeat."""
+    def _send_with_retries(self, request: _Request) -> urllib3.BaseHTTPResponse:
+        """Return the answer of a backend server, retrying errors of routers."""
         while True:
-            address = self._choose(request)
+            address = self._choose_address(request)
             try:
                 response = self._send(address, request)
             except urllib3.exceptions.HTTPError as error:
-                self._book.drop(address)
-                request.exposed |= not isinstance(error, NOT_SENT_ERRORS)
-                self._pause(request, _make_lost(address, error), 0.0)
+                self._address_book.drop(address)
+                request.may_have_run |= not isinstance(error, CONNECTION_ERRORS)
+                self._wait_before_retry(
+                    request, _make_no_answer_error(address, error), 0.0
+                )
                 continue
             if ERROR_HEADER not in response.headers:
                 return response
-            self._judge(request, response, address)
+            self._handle_error(request, response, address)
 
-    def _choose(self, request: _Request) -> str:
-        """Return the address to try, with a ticket for it if the request needs one."""
-        book = self._book.read(request.deadline)
-        if not request.safe and not request.ticket:
-            request.ticket = self._book.take_ticket()
-        return book[0]
+    def _choose_address(self, request: _Request) -> str:
+        """Return the preferred address, after assigning a ticket if one is needed."""
+        addresses = self._address_book.read(request.deadline)
+        if not request.is_safe and not request.ticket:
+            request.ticket = self._address_book.take_ticket()
+        return addresses[0]
 
     def _send(self, address: str, request: _Request) -> urllib3.BaseHTTPResponse:
         headers = dict(request.headers)
@@ -214,44 +224,50 @@
             preload_content=False,
         )
 
-    def _judge(
+    def _handle_error(
         self, request: _Request, response: urllib3.BaseHTTPResponse, address: str
     ) -> None:
-        """Wait before a repeat, or raise what the router says."""
+        """Wait before a retry, or raise the router's error if it is final."""
         error = _read_error(response, address)
         seconds = error.retry_after
         if error.outcome is states.Outcome.RAN:
             raise error
         if error.outcome is states.Outcome.UNKNOWN:
-            request.exposed = True
+            request.may_have_run = True
             if seconds is None and REPEAT_HEADER not in response.headers:
-                seconds = RETRY_SECONDS
-        elif REPEAT_HEADER in response.headers or not request.exposed:
-            # Nothing has run under this ticket, and nothing will.
-            request.exposed = False
+                seconds = RETRY_DELAY_SECONDS
+        elif REPEAT_HEADER in response.headers or not request.may_have_run:
+            # The request has not run with this ticket and never will; use a new one.
+            request.may_have_run = False
             request.ticket = ""
-        self._pause(request, error, seconds)
+        self._wait_before_retry(request, error, seconds)
 
-    def _pause(
+    def _wait_before_retry(
         self, request: _Request, error: errors.RequestError, seconds: float | None
     ) -> None:
-        """Wait before a repeat; raises the error if there is none."""
-        if request.exposed:
-            request.unclear += 1
-        wait = RETRY_SECONDS * (0.5 + self._random.random())
+        """Wait before a retry; raises the final error if no retry is allowed.
+
+        Parameters
+        ----------
+        seconds : float or None
+            Minimum wait; None if the router does not allow a retry.
+        """
+        if request.may_have_run:
+            request.unknown_attempts += 1
+        wait = RETRY_DELAY_SECONDS * (0.5 + self._random.random())
         wait = max(wait, seconds or 0.0)
-        may_repeat = request.safe or request.ticket or not request.exposed
-        late = time.monotonic() + wait >= request.deadline
-        spent = request.unclear >= UNCLEAR_MAX
-        if seconds is None or not may_repeat or late or spent:
-            raise _settle(request, error)
+        may_retry = request.is_safe or request.ticket or not request.may_have_run
+        past_deadline = time.monotonic() + wait >= request.deadline
+        exhausted = request.unknown_attempts >= UNKNOWN_ATTEMPTS_MAX
+        if seconds is None or not may_retry or past_deadline or exhausted:
+            raise _resolve_error(request, error)
         time.sleep(wait)
 
     def _read_reply(self, response: urllib3.BaseHTTPResponse) -> Reply:
         try:
             body = response.read()
         except urllib3.exceptions.HTTPError as error:
-            raise _make_cut(error) from error
+            raise _make_incomplete_error(error) from error
         finally:
             response.release_conn()
         return Reply(response.status, dict(response.headers), body, states.Outcome.RAN)
@@ -267,20 +283,20 @@
                 return
             yield from _read_chunk(json.loads(data))
     except (urllib3.exceptions.HTTPError, ValueError) as error:
-        raise _make_cut(error) from error
-    raise _make_cut("the stream ended without its last event")
+        raise _make_incomplete_error(error) from error
+    raise _make_incomplete_error("the stream ended without [DONE]")
 
 
 def _split_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    rest = b""
-    while piece := response.read1(READ_BYTES):
-        *lines, rest = (rest + piece).split(b"\n")
+    remainder = b""
+    while piece := response.read1(READ_SIZE_BYTES):
+        *lines, remainder = (remainder + piece).split(b"\n")
         yield from lines
 
 
 def _read_chunk(chunk: dict[str, Any]) -> Iterator[str]:
     if "error" in chunk:
-        raise _make_cut(chunk["error"].get("message", ""))
+        raise _make_incomplete_error(chunk["error"].get("message", ""))
     for choice in chunk["choices"]:
         text = choice["delta"].get("content")
         if text:
@@ -290,16 +306,16 @@
 def _read_error(
     response: urllib3.BaseHTTPResponse, address: str
 ) -> errors.RequestError:
-    """Return the error in a router's answer; what can't be read is unknown."""
+    """Return a router's error; an unreadable one counts as an unknown outcome."""
     retry_after = response.headers.get("Retry-After")
     try:
         found = json.loads(response.read())["error"]
-        kind = KINDS[states.Outcome(found["outcome"])]
+        error_type = ERROR_TYPES[states.Outcome(found["outcome"])]
     except (urllib3.exceptions.HTTPError, ValueError, KeyError, TypeError) as error:
-        return _make_lost(address, error)
+        return _make_no_answer_error(address, error)
     finally:
         response.release_conn()
-    return kind(
+    return error_type(
         found["message"],
         code=found["code"],
         status=response.status,
@@ -309,35 +325,40 @@
     )
 
 
-def _settle(request: _Request, error: errors.RequestError) -> errors.RequestError:
-    """Return what is known of a request after its last attempt.
+def _resolve_error(
+    request: _Request, error: errors.RequestError
+) -> errors.RequestError:
+    """Return the error of a request, taking all its attempts into account.
 
-    A refusal of the last attempt says nothing about an earlier one whose answer was
-    lost; only a word about the ticket itself does.
+    A refusal of the last attempt does not show that an earlier one with a lost answer
+    did not run; only a router's statement about the ticket does.
     """
-    if request.exposed and isinstance(error, errors.NotRun):
+    if request.may_have_run and isinstance(error, errors.NotRun):
         return errors.OutcomeUnknown(
-            f"an earlier attempt may have run; the last one: {error.message}",
+            f"an earlier attempt may have run; the last error: {error.message}",
             code="outcome-unknown",
             step=error.step,
             peer=error.peer,
         )
-    if not request.exposed and isinstance(error, errors.OutcomeUnknown):
+    if not request.may_have_run and isinstance(error, errors.OutcomeUnknown):
         return errors.NotRun(
             error.message, code=error.code, step=error.step, peer=error.peer
         )
     return error
 
 
-def _make_lost(address: str, error: Exception) -> errors.OutcomeUnknown:
+def _make_no_answer_error(address: str, error: Exception) -> errors.OutcomeUnknown:
     return errors.OutcomeUnknown(
-        f"no answer: {error}", code="no-answer", step="ask", peer=address
+        f"no valid answer from the router: {error}",
+        code="no-answer",
+        step="ask",
+        peer=address,
     )
 
 
-def _make_cut(reason: object) -> errors.AnswerUnavailable:
+def _make_incomplete_error(reason: object) -> errors.AnswerUnavailable:
     return errors.AnswerUnavailable(
-        f"the answer is not whole: {reason}",
+        f"the answer is incomplete: {reason}",
         code="answer-incomplete",
         step="read answer",
     )
--- a/celeryspan/metrics.py
+++ b/celeryspan/metrics.py
@@ -36,22 +36,7 @@
 
 CONTENT_TYPE = exposition.CONTENT_TYPE_LATEST
 
-DURATION_BUCKETS = (
-    0.005,
-    0.01,
-    0.025,
-    0.05,
-    0.1,
-    0.25,
-    0.5,
-    1,
-    2.5,
-    5,
-    10,
-    30,
-    60,
-    120,
-)
+TIME_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120)
 """Histogram buckets for waits and request durations, in seconds: from a loopback call
 to two minutes."""
 
@@ -91,7 +76,7 @@
         self._box = box
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yield the counters of bytes and messages, by direction and kind of message."""
+        """Yield the counters of bytes and messages, by direction and message kind."""
         totals: collections.Counter[tuple[str, str, str]] = collections.Counter()
         for report in self._find_reports():
             for name, direction in DIRECTIONS.items():
@@ -134,7 +119,7 @@
         self._servers: set[str] = set()
         self._lock = threading.Lock()
         self._wait = self._make_histogram(
-            "wait_seconds", "Wait for a slot.", DURATION_BUCKETS
+            "wait_seconds", "Wait for a slot.", TIME_BUCKETS
         )
         self._first_token = self._make_histogram(
             "first_token_seconds",
@@ -147,7 +132,7 @@
             TOKEN_GAP_BUCKETS,
         )
         self._duration = self._make_histogram(
-            "request_seconds", "Time from acceptance to the end.", DURATION_BUCKETS
+            "request_seconds", "Time from acceptance to the end.", TIME_BUCKETS
         )
         self._cost = self._make_histogram(
             "request_cost_units", "True cost of a request.", COST_BUCKETS
@@ -230,7 +215,7 @@
         seconds: float,
         cost: float,
     ) -> None:
-        """Record the outcome of a request, its duration and its actual cost in units."""
+        """Record the outcome, duration and actual cost, in units, of a request."""
         pair = self._get_pair_labels(service, account)
         self._outcomes.labels(*pair, outcome.value).inc()
         self._duration.labels(*pair).observe(seconds)
@@ -259,7 +244,7 @@
             self._suspects.labels(standing).set(count)
 
     def set_connections(self, idle: int, busy: int, requests_max: int) -> None:
-        """Set the numbers of callers' connections and the limit on requests in progress."""
+        """Set the numbers of caller connections and the limit on requests."""
         self._connections.labels("idle").set(idle)
         self._connections.labels("busy").set(busy)
         self._requests_max.set(requests_max)
--- a/examples/client_example.py
+++ b/examples/client_example.py
@@ -1,6 +1,6 @@
-"""Ask a fleet for a draft and a stand confirmation.
+"""Request a draft from a model and a stand confirmation from a plain service.
 
-Start a fleet, then: ``python examples/client_example.py 127.0.0.1:8080 KEY``
+Start a fleet, then run ``python examples/client_example.py 127.0.0.1:8080 KEY``
 """
 
 from __future__ import annotations
@@ -11,20 +11,22 @@
 
 
 def run(routers: list[str], key: str) -> int:
-    """Print a draft as it is written, then the answer of the gate desk."""
-    fleet = client.Client(routers, key)
+    """Print a draft as it arrives, then the answer of the gate desk."""
+    router_client = client.Client(routers, key)
     question = {"role": "user", "content": "Draft a turnaround plan for stand 12."}
     try:
-        for text in fleet.stream("planner-llm", [question], max_tokens=64):
+        for text in router_client.stream("planner-llm", [question], max_tokens=64):
             print(text, end=" ", flush=True)
         print()
-        reply = fleet.call("gate-desk", "/stands/12/confirm", body=b"OK-TVS 14:05")
+        reply = router_client.call(
+            "gate-desk", "/stands/12/confirm", body=b"OK-TVS 14:05"
+        )
         print(reply.body.decode())
     except errors.NotRun as error:
-        print(f"not carried out, ask again later: {error}")
+        print(f"the request did not run, retry later: {error}")
         return 1
     except errors.RequestError as error:
-        print(f"{error.outcome.value}, look before you ask again: {error}")
+        print(f"outcome {error.outcome.value}, check before retrying: {error}")
         return 1
     return 0
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The caller's library against routers that fail in turn."""
+"""The client library with routers and servers that fail."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 @pytest.fixture(autouse=True)
-def hurry(monkeypatch):
-    monkeypatch.setattr(client, "RETRY_SECONDS", 0.01)
+def short_retry_delay(monkeypatch):
+    monkeypatch.setattr(client, "RETRY_DELAY_SECONDS", 0.01)
 
 
 def make_client(*routers, seconds=5.0):
@@ -27,33 +27,34 @@
     return client.Client(addresses, scripted.KEY, seconds=seconds)
 
 
-def test_a_call_and_a_stream():
+def test_call_chat_and_stream_return_answers():
     with scripted.run_router([test_caller.echo], [test_caller.generate]) as router:
         router.membership.members = [scripted.make_member("me", router.address)]
-        asking = make_client(router)
-        reply = asking.call("gate-desk", "/confirm", body=b"stand 12")
+        caller = make_client(router)
+        reply = caller.call("gate-desk", "/confirm", body=b"stand 12")
         assert (reply.status, reply.body) == (200, b"stand 12")
-        assert asking.chat("planner-llm", QUESTION) == "stand 12 is free"
-        assert "".join(asking.stream("planner-llm", QUESTION)) == "stand 12 is free"
+        assert caller.chat("planner-llm", QUESTION) == "stand 12 is free"
+        assert "".join(caller.stream("planner-llm", QUESTION)) == "stand 12 is free"
 
 
-def test_a_router_that_is_gone_is_left_for_another(fleet):
+def test_unreachable_router_is_replaced_by_another(fleet):
     gone = ids.Address("127.0.0.1", 1)
     for router in (fleet, fleet.second):
         router.membership.members = [
             scripted.make_member("gone", gone),
             scripted.make_member("entry-1", fleet.address),
         ]
-    asking = make_client(fleet)
+    caller = make_client(fleet)
     for _ in range(4):
-        assert asking.call("gate-desk", "/confirm").body == b"confirmed"
+        assert caller.call("gate-desk", "/confirm").body == b"confirmed"
     assert test_claims.count_runs(fleet) == 4
 
 
-def test_a_lost_answer_is_asked_for_again_and_runs_once(fleet):
-    """The connection ends after the gate desk has confirmed, before the answer.
+def test_retry_after_a_lost_answer_runs_once(fleet):
+    """Guards against a booking that is made twice.
 
-    A library that sends again without a name books a second time.
+    The connection closes after the gate desk has confirmed and before the answer
+    arrives; a retry without the ticket would run again.
     """
     cut = iter([True])
 
@@ -77,23 +78,23 @@
 
     proxy = scripted.Server(relay)
     fleet.membership.members = [scripted.make_member("entry-1", fleet.address)]
-    asking = client.Client([str(proxy.address)], scripted.KEY, seconds=5)
-    assert asking.call("gate-desk", "/confirm").body == b"confirmed"
+    caller = client.Client([str(proxy.address)], scripted.KEY, seconds=5)
+    assert caller.call("gate-desk", "/confirm").body == b"confirmed"
     assert test_claims.count_runs(fleet) == 1
     proxy.close()
 
 
-def test_what_is_not_run_is_said_so_and_tried_with_a_new_ticket(fleet):
+def test_refused_call_raises_not_run_and_a_later_call_succeeds(fleet):
     fleet.membership.members = [scripted.make_member("entry-1", fleet.address)]
-    asking = make_client(fleet, seconds=0.5)
+    caller = make_client(fleet, seconds=0.5)
     servers, fleet.dispatch.servers = fleet.dispatch.servers, []
     with pytest.raises(errors.NotRun):
-        asking.call("gate-desk", "/confirm")
+        caller.call("gate-desk", "/confirm")
     fleet.dispatch.servers = servers
-    assert asking.call("gate-desk", "/confirm").body == b"confirmed"
+    assert caller.call("gate-desk", "/confirm").body == b"confirmed"
 
 
-def test_an_unknown_outcome_is_not_called_a_refusal(fleet):
+def test_lost_answer_raises_outcome_unknown(fleet):
     fleet.membership.members = [scripted.make_member("entry-1", fleet.address)]
     fleet.gates[0].script = lambda connection, received: False
     with pytest.raises(errors.OutcomeUnknown):
@@ -101,13 +102,13 @@
     assert test_claims.count_runs(fleet) == 1
 
 
-def test_half_a_stream_is_not_taken_for_a_whole():
-    def forget(connection, received):
+def test_incomplete_stream_raises_answer_unavailable():
+    def cut_posts(connection, received):
         return received.line.startswith("POST") and test_streams.cut(
             connection, received
         )
 
-    with scripted.run_router(engines=[forget]) as router:
+    with scripted.run_router(engines=[cut_posts]) as router:
         router.membership.members = [scripted.make_member("me", router.address)]
         texts = []
         with pytest.raises(errors.AnswerUnavailable):
@@ -115,7 +116,7 @@
     assert "".join(texts) in ("", "one two ")
 
 
-def test_the_example_runs(capsys):
+def test_client_example_runs(capsys):
     path = pathlib.Path(__file__).parent.parent / "examples" / "client_example.py"
     spec = importlib.util.spec_from_file_location("client_example", path)
     example = importlib.util.module_from_spec(spec)
