--- a/bench/faultcallers.py
+++ b/bench/faultcallers.py
@@ -152,7 +152,7 @@
                     body=body,
                     headers={**fields, "Connection": "close"},
                 )
-            except client.CONNECTION_ERRORS:
+            except client.CONNECT_ERRORS:
                 self.book.drop(address)
 
 
--- a/celeryspan/client.py
+++ b/celeryspan/client.py
@@ -42,7 +42,7 @@
     states.Outcome.UNKNOWN: errors.OutcomeUnknown,
 }
 
-CONNECTION_ERRORS = (
+CONNECT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
@@ -196,7 +196,7 @@
                 response = self._send(address, request)
             except urllib3.exceptions.HTTPError as error:
                 self._address_book.drop(address)
-                request.may_have_run |= not isinstance(error, CONNECTION_ERRORS)
+                request.may_have_run |= not isinstance(error, CONNECT_ERRORS)
                 self._wait_before_retry(
                     request, _make_no_answer_error(address, error), 0.0
                 )
