--- a/celeryspan/daemons/__init__.py
+++ b/celeryspan/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin daemons and the command line."""
+"""The router daemons and the command line."""
--- a/celeryspan/daemons/demo.py
+++ b/celeryspan/daemons/demo.py
@@ -1,4 +1,4 @@
-"""The command ``demo``: three routers and stand-ins in one process."""
+"""The command ``demo``: runs three routers with stand-in servers in one process."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 from standins import callers, fairness, fleet
 
 SEND_SECONDS = 12.0
-"""How long the callers send: some 300 requests of the model and as many calls."""
+"""How long callers send requests: about 300 to the model and as many calls of the gate
+desk."""
 
 REFRESH_SECONDS = 0.25
 
 FLOOD_CALLERS = 40
-"""Callers of the flooding account: more than twice all slots of the engines."""
+"""Callers of the flooding account: more than twice the slots of all engines."""
 
 PLAN = fleet.Plan(
     accounts=(
@@ -49,7 +50,7 @@
 ]
 
 TABLE_WIDTH = 100
-"""Least width of the output, in characters, so that no column is cut."""
+"""Minimum width of the output, in characters, so that no column is truncated."""
 
 COLUMNS = (
     "client account",
@@ -69,8 +70,8 @@
 )
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """What the demo has found; the last line of its output."""
+class Summary(msgspec.Struct, frozen=True):
+    """Results of the demo, printed as JSON on the last line of the output."""
 
     asked: int
     answered: int
@@ -84,39 +85,39 @@
 
 
 class Demo:
-    """A fleet, its callers and what is measured of them.
+    """Runs a fleet with simulated callers and records their requests.
 
     Attributes
     ----------
     asks : list of Ask
-        Every request of the callers.
+        All requests of the callers.
     calls : list of dict
-        Every call that the gate desk has carried out.
+        All calls that the gate desk servers executed.
     """
 
     def __init__(self, console: rich.console.Console) -> None:
         self.asks: list[callers.Ask] = []
         self.calls: list[dict] = []
         self._console = console
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._fleet = fleet.Fleet(PLAN)
         self._sampler: fairness.Sampler | None = None
 
     def run(self, send_seconds: float) -> None:
-        """Start everything, send for some seconds, wait for the answers, stop."""
+        """Start the fleet, send requests for this time, await the answers and stop."""
         self._fleet.start()
         try:
-            passed = time.monotonic() - self._began
-            self._console.print(f"{PLAN.routers} routers serve after {passed:.1f} s")
+            elapsed = time.monotonic() - self._started_at
+            self._console.print(f"{PLAN.routers} routers ready after {elapsed:.1f} s")
             self._send(send_seconds)
         finally:
             self._fleet.stop()
         self.calls = [call for gate in self._fleet.gates for call in gate.journal]
 
-    def judge(self) -> Verdict:
-        """Count what the callers got and what the journals hold."""
+    def summarise(self) -> Summary:
+        """Summarise the outcomes of the callers and the journals of the servers."""
         endings = collections.Counter(ask.ending for ask in self.asks)
-        return Verdict(
+        return Summary(
             asked=len(self.asks),
             answered=endings[callers.Ending.ANSWERED],
             not_run=endings[callers.Ending.NOT_RUN],
@@ -125,29 +126,29 @@
             ran_twice=count_ran_twice(self.calls),
             gap=round(self._sampler.gap.greatest, 1),
             utilisation=round(self._sampler.utilisation, 3),
-            seconds=round(time.monotonic() - self._began, 1),
+            seconds=round(time.monotonic() - self._started_at, 1),
         )
 
     def _send(self, seconds: float) -> None:
-        asking = callers.Callers(LOADS, self._fleet.addresses)
-        self._sampler = fairness.Sampler(asking, self._fleet.engines, PLAN.weights)
-        self.asks = asking.asks
-        asking.start()
+        generator = callers.Callers(LOADS, self._fleet.addresses)
+        self._sampler = fairness.Sampler(generator, self._fleet.engines, PLAN.weights)
+        self.asks = generator.asks
+        generator.start()
         self._sampler.start()
         self._show_progress(seconds)
         self._sampler.stop()
-        asking.stop()
+        generator.stop()
 
     def _show_progress(self, seconds: float) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         live = rich.live.Live(console=self._console, auto_refresh=False, transient=True)
         with live:
-            while (passed := time.monotonic() - began) < seconds:
-                seen = list(self.asks)
-                ended = sum(bool(ask.ended) for ask in seen)
-                waiting = sum(ask.waits for ask in seen)
-                text = f"asked {len(seen)}  ended {ended}  waiting {waiting}"
-                live.update(f"{passed:4.1f} s  {text}", refresh=True)
+            while (elapsed := time.monotonic() - started_at) < seconds:
+                asks = list(self.asks)
+                ended = sum(bool(ask.ended) for ask in asks)
+                waiting = sum(ask.waits for ask in asks)
+                text = f"asked {len(asks)}  ended {ended}  waiting {waiting}"
+                live.update(f"{elapsed:4.1f} s  {text}", refresh=True)
                 time.sleep(REFRESH_SECONDS)
 
 
@@ -166,12 +167,12 @@
 
 @registry.command("demo", define=_define)
 def run(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Run three routers and stand-ins on loopback, and show what accounts receive.
+    """Run three routers with stand-in servers and show the service of each account.
 
-    The Vrbický example cut down: four model engines and two servers of the gate desk;
-    one client account floods. The last line is one JSON object. Exits with 1 if an
-    answer was incomplete, or a clearance was carried out twice or after a refusal that
-    said "not run".
+    A reduced version of the Vrbický example with four model engines and two servers of
+    the gate desk; one client account floods them. The last line is a JSON object. Exits
+    with 1 if an answer was incomplete, or if a clearance was executed twice or after
+    its caller received "not-run".
     """
     console = rich.console.Console(highlight=False)
     console.width = max(console.width, TABLE_WIDTH)
@@ -180,50 +181,50 @@
         demo = Demo(console)
         demo.run(values.send_seconds)
         console.print(make_table(demo.asks))
-        faults = list_faults(demo.asks, demo.calls)
-        for line in faults:
+        violations = list_violations(demo.asks, demo.calls)
+        for line in violations:
             console.print(line)
-        verdict = demo.judge()
-        print(json.dumps(msgspec.structs.asdict(verdict)), flush=True)
-    return registry.Exit.FAILED if faults else registry.Exit.DONE
+        summary = demo.summarise()
+        print(json.dumps(msgspec.structs.asdict(summary)), flush=True)
+    return registry.Exit.FAILED if violations else registry.Exit.DONE
 
 
-def list_faults(asks: list[callers.Ask], calls: list[dict]) -> list[str]:
-    """Return one line for each promise that was broken."""
-    carried_out = {call["path"].rsplit("/", 1)[-1] for call in calls}
+def list_violations(asks: list[callers.Ask], calls: list[dict]) -> list[str]:
+    """Return one line for each violated guarantee."""
+    executed = {call["path"].rsplit("/", 1)[-1] for call in calls}
     lines = []
     for ask in asks:
         if ask.ending is callers.Ending.INCOMPLETE:
             lines.append(f"incomplete: {ask.account} {ask.mark}: {ask.note}")
-        if ask.ending is callers.Ending.NOT_RUN and ask.mark in carried_out:
-            lines.append(f"told not-run, but carried out: {ask.account} {ask.mark}")
+        if ask.ending is callers.Ending.NOT_RUN and ask.mark in executed:
+            lines.append(f"reported not-run, but executed: {ask.account} {ask.mark}")
     ran_twice = count_ran_twice(calls)
     if ran_twice:
-        lines.append(f"carried out more than once: {ran_twice} clearances")
+        lines.append(f"executed more than once: {ran_twice} clearances")
     return lines
 
 
 def count_ran_twice(calls: list[dict]) -> int:
-    """Return how many clearances a journal holds more than once."""
+    """Return the number of clearances that were executed more than once."""
     paths = collections.Counter(call["path"] for call in calls)
     return sum(count > 1 for count in paths.values())
 
 
 def make_table(asks: list[callers.Ask]) -> rich.table.Table:
-    """Return a table with one line for each client account."""
+    """Return a table with one row for each client account."""
     table = rich.table.Table(box=None)
     for column in COLUMNS:
         table.add_column(column, justify="left" if not table.columns else "right")
     for account in sorted({ask.account for ask in asks}):
-        own = [ask for ask in asks if ask.account == account]
-        endings = collections.Counter(ask.ending for ask in own)
-        waits = sorted(ask.first - ask.began for ask in own if ask.first)
+        account_asks = [ask for ask in asks if ask.account == account]
+        endings = collections.Counter(ask.ending for ask in account_asks)
+        waits = sorted(ask.first - ask.began for ask in account_asks if ask.first)
         table.add_row(
             account,
-            str(len(own)),
+            str(len(account_asks)),
             *(str(endings[ending]) for ending in SHOWN_ENDINGS),
             f"{statistics.median(waits):.2f}" if waits else "-",
             f"{waits[int(len(waits) * 0.99)]:.2f}" if waits else "-",
-            f"{sum(ask.units for ask in own):.0f}",
+            f"{sum(ask.units for ask in account_asks):.0f}",
         )
     return table
--- a/celeryspan/daemons/gateway.py
+++ b/celeryspan/daemons/gateway.py
@@ -1,4 +1,4 @@
-"""The router daemon on the users' platform."""
+"""The command ``gateway``: the router daemon of the users' platform."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from celeryspan.platform import names
 from celeryspan.services import datagrams, delivery, identity, links, membership
 
-SHARED = (datagrams, delivery, identity, links, membership, metrics)
-"""Modules whose services this router has in common with the product's own."""
+SHARED_MODULES = (datagrams, delivery, identity, links, membership, metrics)
+"""Modules of services that both router daemons use."""
 
 SERVICES = (
     "metrics",
@@ -37,7 +37,7 @@
     "directory",
     "stopping",
 )
-"""Services of a router; what else they need the kernel starts before them."""
+"""Services of a router; the kernel starts their dependencies before them."""
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -52,14 +52,14 @@
 def run(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
     """Run the router of this VM on the users' platform until a signal stops it.
 
-    Without --settings the file is the one that the environment names. SIGTERM begins a
-    graceful stop; SIGHUP notes that the settings may have changed.
+    Without --settings the path is read from the environment. SIGTERM begins a graceful
+    stop; SIGHUP validates changed settings, which take effect at the next start.
     """
     path = values["settings"].value or os.environ.get(names.SETTINGS_VARIABLE, "")
     if not path:
         raise registry.UsageError("expected --settings FILE, found nothing")
     found = yamlfiles.read_file(path, settings.Settings)
-    # Before any thread: a signal that comes during the start must wait.
+    # Blocked before any thread starts, so that signals during the start stay pending.
     signal.pthread_sigmask(signal.SIG_BLOCK, (*STOP_SIGNALS, signal.SIGHUP))
     writer = events.open_log(sys.stdout)
     import_services()
@@ -67,7 +67,7 @@
     box.start(SERVICES)
     stop: stopping.Stopping = box.find("stopping")
     threading.Thread(
-        target=follow_signals, args=(stop, path), name="signals", daemon=True
+        target=handle_signals, args=(stop, path), name="signals", daemon=True
     ).start()
     stop.finished.wait()
     box.stop()
@@ -76,16 +76,16 @@
 
 
 def import_services() -> None:
-    """Import all modules of services, so that they register."""
+    """Import all modules of services, which registers the services."""
     for module in pkgutil.iter_modules(gateway.__path__):
         importlib.import_module(f"celeryspan.gateway.{module.name}")
 
 
-def follow_signals(stop: stopping.Stopping, path: str) -> None:
-    """Begin a graceful stop at the first signal to stop; further ones change nothing.
+def handle_signals(stop: stopping.Stopping, path: str) -> None:
+    """Begin a graceful stop at the first stop signal; further ones have no effect.
 
-    A platform that repeats its signal must not turn a stop that cuts nothing into one
-    that does; it has another signal for that.
+    A platform that repeats SIGTERM must not interrupt the requests of a graceful stop;
+    to end the process at once it has SIGKILL.
     """
     for count in itertools.count(1):
         number = signal.sigwait((*STOP_SIGNALS, signal.SIGHUP))
@@ -97,7 +97,7 @@
 
 
 def check_settings(path: str) -> None:
-    """Log whether changed settings are valid; they are in force from the next start."""
+    """Log whether changed settings are valid; they take effect at the next start."""
     try:
         yamlfiles.read_file(path, settings.Settings)
     except* Exception as error:
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Run this command alone, without importing the others."""
+    """Run this command without importing the other commands."""
     values = flags.FlagValues()
     _define(values)
     sys.exit(int(run(values([registry.__name__, *sys.argv[1:]])[1:], values)))
--- a/celeryspan/daemons/launch.py
+++ b/celeryspan/daemons/launch.py
@@ -1,13 +1,13 @@
-"""Starts the router daemon of the users' platform with its signals held back first.
+"""Starts the router daemon of the users' platform with its signals blocked.
 
-Importing the daemon takes some tenths of a second. A SIGHUP in that time ends a process
-that has not blocked it yet, seen as a router that ends by itself while its settings
-change. Blocked before anything else is imported, signals wait until the daemon takes
-them; what is left is the start of the interpreter.
+Importing the daemon takes some tenths of a second, and a SIGHUP in that time would end
+the process: a router would exit while its settings change. Signals are blocked before
+anything else is imported and stay pending until the daemon handles them. Only the start
+of the interpreter itself remains unprotected.
 
-What is imported lives as long as the process. The collector of cyclic garbage would
-look through it again and again, first while it grows, then with each full collection,
-in which all streams of the router pause.
+Imported objects live as long as the process. They are frozen, so that the garbage
+collector does not traverse them during the imports and in each full collection, which
+pauses all streams of the router.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 import importlib
 import signal
 
-HELD = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+BLOCKED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
-signal.pthread_sigmask(signal.SIG_BLOCK, HELD)
+signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
 
 
 def main() -> None:
-    """Import the daemon and run it."""
+    """Import the daemon with garbage collection disabled, then run it."""
     gc.disable()
     daemon = importlib.import_module("celeryspan.daemons.gateway")
     daemon.import_services()
--- a/celeryspan/daemons/operations.py
+++ b/celeryspan/daemons/operations.py
@@ -1,4 +1,4 @@
-"""Commands of operators: check, apply, status, drain, addresses, version."""
+"""Commands for operators: check, apply, status, drain, addresses, version."""
 
 from __future__ import annotations
 
@@ -15,33 +15,32 @@
 from celeryspan.daemons import registry, tables
 
 KEY_VARIABLE = "CELERYSPAN_OPERATOR_KEY"
-"""Where the operator's key is read from: a flag would show it to all users of a VM."""
+"""Environment variable of the operator's key; a flag would be visible to all users of
+the VM."""
 
 POLL_SECONDS = 0.2
-"""Pause between two questions to the routers while 'apply' waits for them."""
+"""Interval at which 'apply --wait' polls the routers."""
 
 
 def _define_router(values: flags.FlagValues) -> None:
-    flags.DEFINE_string(
-        "router", None, "HOST:PORT at which any router serves.", flag_values=values
-    )
+    flags.DEFINE_string("router", None, "HOST:PORT of any router.", flag_values=values)
 
 
 def _define_apply(values: flags.FlagValues) -> None:
     for name, text in (
         ("store", "HOST:PORT of the platform's object API."),
-        ("settings", "Settings of a router, to read the store's address from."),
-        ("router", "HOST:PORT of any router, to wait for all of them."),
-        ("author", "Who applies; the operating system's user by default."),
+        ("settings", "Settings of a router that contain the store's address."),
+        ("router", "HOST:PORT of any router; --wait waits for all of them."),
+        ("author", "Author of the change; the current user by default."),
     ):
         flags.DEFINE_string(name, "", text, flag_values=values)
     flags.DEFINE_boolean(
-        "dry_run", False, "Show what would change; write nothing.", flag_values=values
+        "dry_run", False, "Show the changes without writing them.", flag_values=values
     )
     flags.DEFINE_float(
         "wait",
         0.0,
-        "Seconds to wait until every router has it in force.",
+        "Seconds to wait until the generation is in force on every router.",
         lower_bound=0.0,
         flag_values=values,
     )
@@ -56,10 +55,10 @@
 
 @registry.command("check", "REGISTER", "RULES")
 def check(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Validate a register and its rules; write nothing.
+    """Validate a register and its rules without writing anything.
 
-    Each fault is one line with the file, its line, the path of the key, what was
-    expected and what was found.
+    Each error is one line with the file, its line, the path of the key, the expected
+    value and the value found.
     """
     entries, added = inputs.read_register_and_rules(*arguments)
     print(
@@ -76,97 +75,101 @@
 def apply(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
     """Validate a register and its rules and write them as one new generation.
 
-    Shows each entry that is added (+), removed (-) or changed (~). Files that change
-    nothing are not written. If another operator was faster, nothing is written, and
-    the generation that won is named. With --wait and --router it returns once every
-    router that answers has the generation in force, and names those that have not;
-    the operator's key is then read from CELERYSPAN_OPERATOR_KEY.
+    Shows each entry that is added (+), removed (-) or changed (~). Files without
+    changes are not written. If another operator has written a generation meanwhile,
+    nothing is written and that generation is reported. With --wait and --router the
+    command returns once the generation is in force on every router that answers, or
+    lists the routers on which it is not. The operator's key is then read from
+    CELERYSPAN_OPERATOR_KEY.
     """
     router = registry.require(values, "router", "HOST:PORT") if values.wait else ""
     entries, added = inputs.read_register_and_rules(*arguments)
-    client = store.StoreClient(find_store(values))
-    standing = publishing.read_standing(client)
-    lines = changes.describe_changes(standing.value, entries, added)
+    client = store.StoreClient(find_store_address(values))
+    current = publishing.read_standing(client)
+    lines = changes.describe_changes(current.value, entries, added)
     if not lines:
-        print(f"no changes; generation {standing.generation} stays")
+        print(f"no changes; generation {current.generation} stays")
         return registry.Exit.DONE
     print("\n".join(lines))
     if values.dry_run:
-        print(f"{len(lines)} changes to generation {standing.generation}; not written")
+        print(f"{len(lines)} changes to generation {current.generation}; not written")
         return registry.Exit.DONE
     author = values.author or f"{getpass.getuser()}@{socket.gethostname()}"
-    written = publishing.publish(client, standing, entries, added, author)
-    print(f"generation {written.generation} written: {len(lines)} changes by {author}")
+    published = publishing.publish(client, current, entries, added, author)
+    print(
+        f"generation {published.generation} written: {len(lines)} changes by {author}"
+    )
     if values.wait:
-        return wait_in_force(router, written.generation, values.wait)
+        return wait_until_in_force(router, published.generation, values.wait)
     return registry.Exit.DONE
 
 
-def find_store(values: flags.FlagValues) -> str:
-    """Return the address of the object API that the flags name.
+def find_store_address(values: flags.FlagValues) -> str:
+    """Return the address of the object API from the flags.
 
     Raises
     ------
     UsageError
-        If they name none.
+        If neither flag was given.
     """
     if values.settings:
         return inputs.read_settings(values.settings).store_address
     return registry.require(values, "store", "HOST:PORT (or --settings FILE)")
 
 
-def wait_in_force(address: str, generation: int, seconds: float) -> registry.Exit:
-    """Wait until all routers have a generation in force, and print which have not."""
-    client = routers.RouterClient(read_key())
-    began = time.monotonic()
+def wait_until_in_force(address: str, generation: int, seconds: float) -> registry.Exit:
+    """Wait until a generation is in force on all routers; print those that lag."""
+    client = routers.RouterClient(read_operator_key())
+    started_at = time.monotonic()
     while True:
         reports = client.get_reports(address)
-        behind = [
+        lagging = [
             report.address for report in reports if report.generation < generation
         ]
-        waited = time.monotonic() - began
-        if not behind:
+        waited = time.monotonic() - started_at
+        if not lagging:
             print(f"in force on {len(reports)} routers after {waited:.1f} s")
             return registry.Exit.DONE
         if waited >= seconds:
-            print(f"not in force after {waited:.1f} s: {', '.join(behind)}")
+            print(f"not in force after {waited:.1f} s: {', '.join(lagging)}")
             return registry.Exit.FAILED
         time.sleep(POLL_SECONDS)
 
 
 @registry.command("status", define=_define_status)
 def status(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Show what every router says of itself and of its client accounts.
+    """Show the state of every router and its client accounts.
 
-    Asks one router for the others and each of them for its state: generation in force,
+    Gets the list of routers from one of them and queries each: generation in force,
     members, home of each backend server, backlog and service received. The operator's
     key is read from CELERYSPAN_OPERATOR_KEY. Exits with 1 if a router does not answer.
     """
-    client = routers.RouterClient(read_key())
+    client = routers.RouterClient(read_operator_key())
     reports = client.get_reports(registry.require(values, "router", "HOST:PORT"))
     if values.json:
         print(json.dumps({item.address: item.fields for item in reports}))
     else:
         tables.print_status(reports)
-    silent = any(item.error for item in reports)
-    return registry.Exit.FAILED if silent else registry.Exit.DONE
+    has_errors = any(item.error for item in reports)
+    return registry.Exit.FAILED if has_errors else registry.Exit.DONE
 
 
 @registry.command("drain", "ROUTER")
 def drain(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Ask the router at HOST:PORT to finish its requests and stop.
+    """Make the router at HOST:PORT finish its requests and exit.
 
-    It leaves the answer of 'celeryspan addresses' at once, cuts no request in progress
-    and exits. The operator's key is read from CELERYSPAN_OPERATOR_KEY.
+    The router is removed from the output of 'celeryspan addresses' at once, completes
+    the requests in progress and exits. The operator's key is read from
+    CELERYSPAN_OPERATOR_KEY.
     """
-    routers.RouterClient(read_key()).drain(arguments[0])
+    routers.RouterClient(read_operator_key()).drain(arguments[0])
     print(f"{arguments[0]} is draining")
     return registry.Exit.DONE
 
 
 @registry.command("addresses", define=_define_router)
 def addresses(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Show which addresses a router tells callers to use, one a line."""
+    """Show the addresses that a router gives to callers, one per line."""
     router = registry.require(values, "router", "HOST:PORT")
     found = routers.RouterClient("").get_addresses(router)
     for address in found.addresses:
@@ -181,13 +184,13 @@
     return registry.Exit.DONE
 
 
-def read_key() -> str:
-    """Return the operator's key.
+def read_operator_key() -> str:
+    """Return the operator's key from the environment.
 
     Raises
     ------
     UsageError
-        If the environment holds none.
+        If the variable is not set.
     """
     key = os.environ.get(KEY_VARIABLE, "")
     if not key:
--- a/celeryspan/daemons/platformdemo.py
+++ b/celeryspan/daemons/platformdemo.py
@@ -1,4 +1,4 @@
-"""Three routers of the users' platform in one process, before its stand-ins."""
+"""The command ``demo-platform``: runs the platform's routers with stand-in servers."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class PlatformDemo:
-    """A store, backend servers and routers, and what callers get of them.
+    """Runs a store, backend servers and routers, and sends requests to them.
 
     Parameters
     ----------
     stack : ExitStack
-        Stops everything that is started.
+        Stops the started components when it closes.
     """
 
     def __init__(self, stack: contextlib.ExitStack) -> None:
@@ -54,7 +54,7 @@
         stack.callback(self._pool.clear)
 
     def wait(self) -> None:
-        """Wait until each router knows all others, all servers and a configuration."""
+        """Wait until each router is ready and has found all routers and servers."""
         desk.wait_for(
             lambda: all(
                 len(box.find("membership").alive()) == ROUTERS
@@ -65,7 +65,7 @@
         )
 
     def ask(self, number: int) -> tuple[str, int]:
-        """Send one request to one router; returns its path and status."""
+        """Send a request to one of the routers and return its path and status."""
         box = self.boxes[number % ROUTERS]
         path = PATHS[number % len(PATHS)]
         answer = self._pool.request(
@@ -113,33 +113,34 @@
 
 @registry.command("demo-platform")
 def run(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Run three routers of the users' platform before its stand-ins.
+    """Run three routers of the users' platform with stand-in servers.
 
-    A store, four backend servers and three routers run in this process; two hundred
-    requests of four kinds are sent. The last line says what their callers got.
+    A store, four backend servers and three routers run in this process, and two hundred
+    requests of four kinds are sent. The last line summarises their answers.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     with contextlib.ExitStack() as stack:
         demo = PlatformDemo(stack)
         demo.wait()
         with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
-            told = list(pool.map(demo.ask, range(REQUESTS)))
-        runs = collections.Counter(name for s in demo.servers for name in s.ran)
-    render(told)
-    answered = sum(status == 200 for _, status in told)
-    twice = sum(count > 1 for count in runs.values())
-    seconds = time.monotonic() - began
+            responses = list(pool.map(demo.ask, range(REQUESTS)))
+        run_counts = collections.Counter(name for s in demo.servers for name in s.ran)
+    print_table(responses)
+    answered = sum(status == 200 for _, status in responses)
+    ran_twice = sum(count > 1 for count in run_counts.values())
+    seconds = time.monotonic() - started_at
     print(
-        f"asked {len(told)}, answered {answered}, ran_twice {twice}, {seconds:.1f} s",
+        f"asked {len(responses)}, answered {answered}, ran_twice {ran_twice},"
+        f" {seconds:.1f} s",
         flush=True,
     )
-    whole = answered == len(told) and not twice
-    return registry.Exit.DONE if whole else registry.Exit.FAILED
+    succeeded = answered == len(responses) and not ran_twice
+    return registry.Exit.DONE if succeeded else registry.Exit.FAILED
 
 
-def render(told: list[tuple[str, int]]) -> None:
-    """Print how many requests of each path were answered with which status."""
-    counts = collections.Counter(told)
+def print_table(responses: list[tuple[str, int]]) -> None:
+    """Print the number of requests by path and status."""
+    counts = collections.Counter(responses)
     table = rich.table.Table("path", "status", "requests")
     for (path, status), count in sorted(counts.items()):
         table.add_row(path, str(status), str(count))
--- a/celeryspan/daemons/quarantine.py
+++ b/celeryspan/daemons/quarantine.py
@@ -1,4 +1,4 @@
-"""Commands of operators about requests that crash servers: quarantine, release."""
+"""Commands for requests that crash servers: quarantine, release."""
 
 from __future__ import annotations
 
@@ -25,18 +25,21 @@
 def _define_list(values: flags.FlagValues) -> None:
     _define(values)
     flags.DEFINE_boolean(
-        "all", False, "Show requests that are only suspected, too.", flag_values=values
+        "all",
+        False,
+        "Also show requests that are only suspected.",
+        flag_values=values,
     )
 
 
 @registry.command("quarantine", define=_define_list)
-def show(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Show the requests that crash servers and are not sent to any more.
+def list_requests(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
+    """Show the requests that crash servers and are quarantined or isolated.
 
-    One line a request: its fingerprint, which lines 210 of the routers' logs name
-    beside the request's id, how it is treated, since when, how long it ran before each
-    crash, and the servers that crashed. With --all also those under which too few
-    servers have crashed to blame them.
+    Each line shows the fingerprint of a request, how it is treated and since when, how
+    long it ran before each crash, and the servers that crashed. Event 210 in the
+    routers' logs contains the fingerprint and the id of a request. With --all it also
+    shows requests with too few crashes for a decision.
     """
     client = objects.ObjectClient(registry.require(values, "store", "HOST:PORT"))
     known = quarantine.Quarantine()
@@ -45,7 +48,7 @@
         suspect
         for suspect in known.list_suspects()
         if known.find_standing(suspect.whole)
-        in (tuple(quarantine.Standing) if values.all else SHOWN)
+        in (tuple(quarantine.Standing) if values.all else DEFAULT_STANDINGS)
     ]
     if not shown:
         print("no request is in quarantine")
@@ -54,39 +57,40 @@
     return registry.Exit.DONE
 
 
-SHOWN = (quarantine.Standing.QUARANTINED, quarantine.Standing.ISOLATED)
-"""Standings that are shown without --all."""
+DEFAULT_STANDINGS = (quarantine.Standing.QUARANTINED, quarantine.Standing.ISOLATED)
+"""Standings that are shown without ``--all``."""
 
 
 @registry.command("release", "FINGERPRINT", define=_define)
 def release(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
-    """Let a request be sent to servers again.
+    """Release a request from quarantine, so that it is sent to servers again.
 
-    The crashes that are known by now no longer count against it. Routers follow within
-    some ten seconds; if it crashes three more servers it is held again.
+    The crashes that are known so far no longer count against it. Routers apply the
+    release within about ten seconds. After three more crashes the request is
+    quarantined again.
     """
     client = objects.ObjectClient(registry.require(values, "store", "HOST:PORT"))
     suspects, revision = read_suspects(client)
     known = quarantine.Quarantine()
     known.merge(suspects, 0)
-    word = known.acquit(parse_fingerprint(arguments[0]))
-    if word is None:
+    acquittal = known.acquit(parse_fingerprint(arguments[0]))
+    if acquittal is None:
         print(f"no crash counts against {arguments[0]}")
         return registry.Exit.FAILED
-    known.merge([word], 0)
+    known.merge([acquittal], 0)
     spec = records.write(known.list_suspects())
     kind, name = names.QUARANTINE_KIND, names.QUARANTINE_NAME
     try:
         client.replace(kind, name, spec, revision)
     except errors.Conflict:
-        print("a router was faster; nothing was written, try again")
+        print("a router updated the record meanwhile; nothing was written, try again")
         return registry.Exit.CONFLICT
     print(f"{arguments[0]} is released")
     return registry.Exit.DONE
 
 
 def read_suspects(client: objects.ObjectClient) -> tuple[list[messages.Suspect], int]:
-    """Return what the store holds, and its revision; nothing if it holds none."""
+    """Return the stored suspects and their revision; ``([], 0)`` without a record."""
     try:
         found = client.get(names.QUARANTINE_KIND, names.QUARANTINE_NAME)
     except errors.NotFound:
@@ -95,12 +99,12 @@
 
 
 def parse_fingerprint(text: str) -> int:
-    """Return a fingerprint as it is written in logs.
+    """Parse a fingerprint in the format of the logs.
 
     Raises
     ------
     UsageError
-        If it is none.
+        If the text is not a fingerprint.
     """
     digits = 2 * fingerprints.FINGERPRINT_BYTES
     try:
@@ -116,7 +120,7 @@
 def make_table(
     known: quarantine.Quarantine, shown: Iterable[messages.Suspect]
 ) -> rich.table.Table:
-    """Return a table with one line for each request."""
+    """Return a table with one row for each request."""
     table = rich.table.Table(title="requests that crash servers", title_justify="left")
     table.add_column("fingerprint", no_wrap=True)
     for column in ("treated as", "since", "ran for ms", "servers"):
--- a/celeryspan/daemons/registry.py
+++ b/celeryspan/daemons/registry.py
@@ -1,4 +1,4 @@
-"""The commands of the command line, and what their exit codes mean."""
+"""The registry of commands, and the exit codes."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 class UsageError(errors.CeleryspanError):
-    """The command line lacks something that the command needs."""
+    """The command line lacks a required value or has an invalid one."""
 
 
 EXIT_TEXTS = {
     Exit.DONE: "done",
-    Exit.FAILED: "it did not work: no answer, or not what was asked for",
+    Exit.FAILED: "the command failed: no answer, or an unexpected result",
     Exit.USAGE: "unknown command or flag, or a wrong number of arguments",
-    Exit.INVALID: "a file is not valid; each fault is one line",
-    Exit.CONFLICT: "another operator was faster; nothing was written",
+    Exit.INVALID: "a file is not valid; each error is one line",
+    Exit.CONFLICT: "another change was written first; nothing was written",
 }
 
 Runner = Callable[[list[str], flags.FlagValues], Exit]
-Definer = Callable[[flags.FlagValues], None]
+FlagDefiner = Callable[[flags.FlagValues], None]
 
 
 class Command(msgspec.Struct, frozen=True):
@@ -43,14 +43,14 @@
     Attributes
     ----------
     arguments : tuple of str
-        Names of the arguments, as the help shows them; one that ends with three dots
-        stands for one or more.
+        Names of the arguments as shown in the help. A last name that ends with three
+        dots accepts one or more values.
     summary : str
-        One line for the list of commands.
+        One-line description for the overview of commands.
     text : str
-        What the command does, for its own help.
+        Full description for the help of the command.
     define : callable
-        Defines the flags of the command.
+        Function that defines the flags of the command.
     """
 
     name: str
@@ -58,10 +58,10 @@
     summary: str
     text: str
     run: Runner
-    define: Definer
+    define: FlagDefiner
 
-    def takes(self, count: int) -> bool:
-        """Whether so many arguments fit."""
+    def accepts(self, count: int) -> bool:
+        """Return whether the command accepts this number of arguments."""
         if self.arguments and self.arguments[-1].endswith("..."):
             return count >= len(self.arguments)
         return count == len(self.arguments)
@@ -71,12 +71,12 @@
 
 
 def require(values: flags.FlagValues, name: str, kind: str) -> str:
-    """Return the value of a flag.
+    """Return the value of a required flag.
 
     Raises
     ------
     UsageError
-        If it was not given.
+        If the flag was not given.
     """
     value = values[name].value
     if not value:
@@ -84,14 +84,14 @@
     return value
 
 
-def define_nothing(values: flags.FlagValues) -> None:
-    """Define no flags."""
+def define_no_flags(values: flags.FlagValues) -> None:
+    """Define no flags: the default for commands without any."""
 
 
 def command(
-    name: str, *arguments: str, define: Definer = define_nothing
+    name: str, *arguments: str, define: FlagDefiner = define_no_flags
 ) -> Callable[[Runner], Runner]:
-    """Put a function into the registry; its doc comment becomes the help."""
+    """Register a function as a command; its docstring becomes the help text."""
 
     def decorate(run: Runner) -> Runner:
         lines = (run.__doc__ or "").strip().splitlines()
--- a/celeryspan/daemons/router.py
+++ b/celeryspan/daemons/router.py
@@ -1,4 +1,4 @@
-"""The router daemon: settings, log, kernel, signals."""
+"""The command ``router``: the router daemon."""
 
 from __future__ import annotations
 
@@ -38,27 +38,27 @@
     "caller",
     "drain",
 )
-"""Services of a router; what else they need the kernel starts before them."""
+"""Services of a router; the kernel starts their dependencies before them."""
 
 
 class Drain(Protocol):
-    """What the service ``drain`` offers to the daemon.
+    """Interface of the service ``drain`` that the daemon uses.
 
     Attributes
     ----------
     finished : Event
-        Set once nothing is in progress any more and the process may end, whoever
-        began the stop: a signal, an operator, or a planned stop in the rules.
+        Set when no request is in progress any more and the process may exit. A stop is
+        begun by a signal, an operator or a planned stop in the rules.
     """
 
     finished: threading.Event
 
     def begin(self) -> None:
-        """Begin a graceful stop; a second call does nothing."""
+        """Begin a graceful stop; further calls have no effect."""
 
 
 class Router:
-    """One router: the services of one kernel, and how they end.
+    """A router: the kernel and its services.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
     """
 
     def __init__(self, values: settings.Settings) -> None:
-        cherrypy.log.screen = False  # All logs are events.
+        cherrypy.log.screen = False  # The daemon logs events only.
         import_services()
         self.kernel = kernel.Kernel(values)
 
@@ -82,17 +82,17 @@
         Raises
         ------
         StartError
-            If one fails; the others have been stopped.
+            If a service fails to start; the others are stopped.
         """
         self.kernel.start(SERVICES)
 
     def stop(self) -> None:
-        """Stop all services at once; requests in progress are cut."""
+        """Stop all services immediately, interrupting requests in progress."""
         self.kernel.stop()
 
 
 def import_services() -> None:
-    """Import all modules of services, so that they register."""
+    """Import all modules of services, which registers the services."""
     assert metrics
     for module in pkgutil.iter_modules(services.__path__):
         importlib.import_module(f"celeryspan.services.{module.name}")
@@ -108,13 +108,14 @@
 def run(arguments: list[str], values: flags.FlagValues) -> registry.Exit:
     """Run the router of this VM until a signal stops it.
 
-    The first SIGTERM or SIGINT begins a graceful stop: the router leaves the answer of
-    'celeryspan addresses', finishes the requests it has accepted and exits with 0. A
-    second signal ends it at once; requests in progress are then cut, and listed in
-    the log.
+    The first SIGTERM or SIGINT begins a graceful stop: the router is removed from the
+    output of 'celeryspan addresses', completes the requests it has accepted and exits
+    with 0. A second signal stops it immediately; the requests that this interrupts are
+    listed in the log.
     """
     found = inputs.read_settings(registry.require(values, "settings", "FILE"))
-    # Before the log's thread, which would otherwise take a signal and end the process.
+    # Blocked before the log thread starts: a signal delivered to that thread would end
+    # the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     with open_log(found.log_file) as log:
         writer = events.open_log(log)
@@ -124,27 +125,27 @@
             writer.write_queued()
 
 
-def serve(found: Router) -> registry.Exit:
-    """Run a router until it has been stopped.
+def serve(instance: Router) -> registry.Exit:
+    """Run a router until it stops.
 
-    Signals are blocked before any thread starts and taken by a task of their own. A
-    handler could interrupt the main thread while it holds the lock that the handler
-    needs, and a signal during the start would end the process without a drain: seen
-    as a router that ignores SIGTERM, or that exits with -15.
+    Signals are blocked before any thread starts and handled by a dedicated thread. A
+    signal handler could interrupt the main thread while it holds a lock that the
+    handler needs, so that the router would not react to SIGTERM. A signal during the
+    start would end the process with exit code -15, without a drain.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
-    found.start()
-    drain: Drain = found.kernel.find("drain")
+    instance.start()
+    drain: Drain = instance.kernel.find("drain")
     threading.Thread(
-        target=follow_signals, args=(drain,), name="signals", daemon=True
+        target=handle_signals, args=(drain,), name="signals", daemon=True
     ).start()
     drain.finished.wait()
-    found.stop()
+    instance.stop()
     return registry.Exit.DONE
 
 
-def follow_signals(drain: Drain) -> None:
-    """Begin a graceful stop at the first signal, and end it at the next."""
+def handle_signals(drain: Drain) -> None:
+    """Begin a graceful stop at the first signal and abort it at the second."""
     for count in itertools.count(1):
         number = signal.sigwait(STOP_SIGNALS)
         events.log(events.Event.SIGNAL_RECEIVED, signal=int(number), count=count)
@@ -155,7 +156,7 @@
 
 
 def open_log(path: str) -> IO[str]:
-    """Return the file that the log goes to; the standard error output by default."""
+    """Open the log file; standard error if no path is given."""
     if path:
         return open(path, "a", encoding="utf-8", buffering=1)
     return open(sys.stderr.fileno(), "a", encoding="utf-8", closefd=False, buffering=1)
--- a/celeryspan/daemons/tables.py
+++ b/celeryspan/daemons/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the command ``status``."""
+"""Renders the tables of the command ``status``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def print_status(
     reports: list[routers.Report], console: rich.console.Console | None = None
 ) -> None:
-    """Print routers, homes and client accounts."""
+    """Print the tables of routers, homes and client accounts."""
     console = console or rich.console.Console(highlight=False)
     console.print(make_router_table(reports))
     console.print(make_home_table(reports))
@@ -21,7 +21,7 @@
 
 
 def make_router_table(reports: list[routers.Report]) -> rich.table.Table:
-    """Return a table with one line for each router."""
+    """Return a table with one row for each router."""
     table = _make_table(
         "routers",
         ("router", "data centre", "address", "generation", "members", "in progress"),
@@ -43,10 +43,10 @@
 
 
 def make_home_table(reports: list[routers.Report]) -> rich.table.Table:
-    """Return a table with one line for each backend server.
+    """Return a table with one row for each backend server.
 
-    Several homes of one server are all shown: then routers disagree about who is
-    alive, which heals by itself or is a partition.
+    If routers report different homes of a server, all are shown. They then disagree
+    about which routers are alive, either for a short time or because of a partition.
     """
     homes: dict[str, set[str]] = collections.defaultdict(set)
     for report in reports:
@@ -59,10 +59,10 @@
 
 
 def make_account_table(reports: list[routers.Report]) -> rich.table.Table:
-    """Return a table with one line for each service and client account.
+    """Return a table with one row for each service and client account.
 
-    What waits is added up over the routers. Service received is counted for the whole
-    fleet by each router, as far as it has heard, so that the greatest count is shown.
+    The backlog is the sum over all routers. Each router counts the service received in
+    the whole fleet, as far as it has been notified, so the maximum count is shown.
     """
     waiting: collections.Counter[str] = collections.Counter()
     received: dict[str, float] = {}
--- a/celeryspan/daemons/tracing.py
+++ b/celeryspan/daemons/tracing.py
@@ -1,4 +1,4 @@
-"""Commands of on-call engineers, who have logs only: explain."""
+"""The command ``explain``, which needs only the logs of routers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 @registry.command("explain", "REQUEST", "LOG...")
 def explain(arguments: list[str], _: flags.FlagValues) -> registry.Exit:
-    """Say in words what became of one request, from the logs of many routers.
+    """Explain the course of one request from the logs of routers.
 
-    REQUEST is the id that the caller was told. Each LOG is a file with the log of one
-    router, or of several with their names before the lines; cut lines are left out.
+    REQUEST is the id that the caller received. Each LOG is a file with the log of one
+    router, or of several if each line is prefixed with the router's name. Truncated
+    lines are skipped.
     """
     for line in explanations.explain(arguments[0], loglines.read_files(arguments[1:])):
         print(line)
