--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions: what a caller and an operator read, step by step."""
+"""Snapshots of complete sessions of a caller and an operator."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "max_tokens": 3,
 }
 
-CHANGING = (
+VARYING_VALUES = (
     (r"127\.0\.0\.1:\d+", "ADDRESS"),
     (r'"created": ?\d+', '"created": TIME'),
     (r'"tickets": ?\[[^\]]*\]', '"tickets": [TICKETS]'),
@@ -43,7 +43,7 @@
 
 
 class Session:
-    """Writes down what is sent and what comes back, without what changes."""
+    """Records requests and answers, with placeholders for values that vary."""
 
     def __init__(self, address: object) -> None:
         self.address = address
@@ -60,7 +60,7 @@
         body: bytes | dict | None = None,
         **headers: str,
     ) -> None:
-        """Send one request and write it down with its answer."""
+        """Send a request and record it with its answer."""
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         if key:
             sent["Authorization"] = f"Bearer {key}"
@@ -73,7 +73,7 @@
             retries=False,
             timeout=20,
         )
-        self._note_request(answer.headers.get("Celeryspan-Request-Id", ""))
+        self._record_request(answer.headers.get("Celeryspan-Request-Id", ""))
         self.text += f"# {title}\n> {method} {path}\n"
         self.text += "".join(f"> {name}: {sent[name]}\n" for name in sorted(sent))
         shown = data.decode() if data and len(data) < 1000 else f"{len(data or b'')} B"
@@ -87,14 +87,14 @@
         self.text += "\n"
 
     def normalise(self, text: str) -> str:
-        """Put names in the place of what changes from run to run."""
+        """Replace values that vary between runs by placeholders."""
         for place, request in enumerate(self._requests, start=1):
             text = text.replace(request, f"REQUEST-{place}")
-        for pattern, name in CHANGING:
+        for pattern, name in VARYING_VALUES:
             text = re.sub(pattern, name, text)
         return text
 
-    def _note_request(self, request: str) -> None:
+    def _record_request(self, request: str) -> None:
         if request and request not in self._requests:
             self._requests.append(request)
 
@@ -149,7 +149,7 @@
     store = ["--store", str(serving.store.address), "--author", "jana"]
     router = ["--router", str(serving.addresses[0])]
 
-    def enter(*arguments: str) -> None:
+    def run_command(*arguments: str) -> None:
         code = command.main(list(arguments))
         printed = capsys.readouterr()
         shown = f"{' '.join(arguments)}\n{printed.out}{printed.err}"
@@ -157,19 +157,19 @@
         session.text += f"$ celeryspan {shown}exit {int(code)}\n\n"
 
     rules_path.write_text("weights: {tower: 0}\nretirements: [gate-9]\n")
-    enter("check", *files)
+    run_command("check", *files)
     rules_path.write_text("weights: {tower: 4}\n")
-    enter("check", *files)
-    enter("apply", *files, *store, "--dry_run")
-    enter("addresses", *router)
-    enter("apply", *files, *store, "--wait", "10", *router)
-    enter("apply", *files, *store)
-    enter("status", *router)
+    run_command("check", *files)
+    run_command("apply", *files, *store, "--dry_run")
+    run_command("addresses", *router)
+    run_command("apply", *files, *store, "--wait", "10", *router)
+    run_command("apply", *files, *store)
+    run_command("status", *router)
     monkeypatch.setenv("CELERYSPAN_OPERATOR_KEY", "wrong")
-    enter("status", *router)
+    run_command("status", *router)
     monkeypatch.delenv("CELERYSPAN_OPERATOR_KEY")
-    enter("status", *router)
-    enter("aply", *files)
+    run_command("status", *router)
+    run_command("aply", *files)
     monkeypatch.setenv("CELERYSPAN_OPERATOR_KEY", fleet.OPERATOR_KEY)
-    enter("drain", str(serving.addresses[0]))
+    run_command("drain", str(serving.addresses[0]))
     assert session.text == snapshot
