--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests and the demo."""
+"""Stand-ins for the external systems that tests, benchmarks and the demo use."""
--- a/standins/command.py
+++ b/standins/command.py
@@ -10,29 +10,36 @@
 
 from standins import engine, service, store, web
 
-DONE_EXIT = 0
-USAGE_EXIT = 2
+EXIT_OK = 0
+EXIT_USAGE = 2
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 FLAGS = flags.FlagValues()
 
 flags.DEFINE_integer(
-    "port", 0, "Port on loopback; 0 lets the system choose.", flag_values=FLAGS
+    "port", 0, "Port on loopback; 0 picks a free one.", flag_values=FLAGS
 )
 flags.DEFINE_integer(
-    "slots", 8, "Calls that run at once.", lower_bound=1, flag_values=FLAGS
+    "slots",
+    8,
+    "Number of calls that run concurrently.",
+    lower_bound=1,
+    flag_values=FLAGS,
 )
 flags.DEFINE_float(
-    "token_seconds", 0.01, "Time between tokens of an engine.", flag_values=FLAGS
+    "token_seconds", 0.01, "Seconds between two tokens of an engine.", flag_values=FLAGS
 )
 flags.DEFINE_float(
-    "work_seconds", 0.02, "Time that a plain call takes.", flag_values=FLAGS
+    "work_seconds",
+    0.02,
+    "Seconds that a call to the plain service takes.",
+    flag_values=FLAGS,
 )
 flags.DEFINE_boolean(
     "checks_fence",
     False,
-    "Whether an engine refuses orders with an old fencing number.",
+    "Whether an engine rejects orders with an outdated fencing token.",
     flag_values=FLAGS,
 )
 
@@ -56,23 +63,23 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve one stand-in until a signal comes."""
+    """Parse the command line and serve one stand-in; returns the exit status."""
     if "--help" in arguments or "-h" in arguments:
         print(render_help())
-        return DONE_EXIT
+        return EXIT_OK
     try:
-        rest = FLAGS(arguments)[1:]
+        positional = FLAGS(arguments)[1:]
     except flags.Error as error:
-        return refuse(" ".join(str(error).split()))
-    if len(rest) != 1 or rest[0] not in KINDS:
-        found = " ".join(rest) or "nothing"
-        return refuse(f"expected one of {', '.join(KINDS)}, found {found}")
-    serve(rest[0])
-    return DONE_EXIT
+        return report_usage_error(" ".join(str(error).split()))
+    if len(positional) != 1 or positional[0] not in KINDS:
+        found = " ".join(positional) or "nothing"
+        return report_usage_error(f"expected one of {', '.join(KINDS)}, found {found}")
+    serve(positional[0])
+    return EXIT_OK
 
 
 def serve(kind: str) -> None:
-    """Serve until a signal comes."""
+    """Serve a stand-in until SIGTERM or SIGINT arrives."""
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     standin = KINDS[kind]()
     standin.start()
@@ -82,7 +89,7 @@
 
 
 def render_help() -> str:
-    """Return how the command is used."""
+    """Return the usage line and the flags with their defaults."""
     lines = [f"usage: celeryspan-standin {'|'.join(KINDS)} [FLAGS]", "", "flags:"]
     for name in FLAGS:
         flag = FLAGS[name]
@@ -90,10 +97,10 @@
     return "\n".join(lines)
 
 
-def refuse(message: str) -> int:
-    """Print one line about a wrong command line."""
+def report_usage_error(message: str) -> int:
+    """Print a usage error on one line; returns the exit status."""
     print(f"celeryspan-standin: {message}; see --help", file=sys.stderr)
-    return USAGE_EXIT
+    return EXIT_USAGE
 
 
 if __name__ == "__main__":
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,9 +1,9 @@
-"""Ports of loopback for processes that bind them later.
+"""Free loopback ports for processes that bind them later.
 
-Failure answered: a router is told its ports before it starts. If they are of those that
-the kernel hands out by itself, a connection or a stand-in may be given one meanwhile;
-the router can't bind it and ends, and whoever waits for it waits in vain. Of twelve
-ports found that way one was taken by 43 sockets opened later in 3 of 300 rounds.
+A router gets its ports before it starts. A port from the kernel's ephemeral range can
+be assigned to another socket in the meantime; the router then fails to bind it and
+exits, and its callers wait until they time out. With twelve ephemeral ports and 43
+sockets opened afterwards, this happened in 3 of 300 rounds.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 HOST = "127.0.0.1"
 
 PORTS = range(20_000, 32_000)
-"""Below those that Linux gives to sockets by itself (32,768 and up)."""
+"""Below the default ephemeral port range of Linux, which begins at 32,768."""
 
 
 def find_ports(count: int) -> list[int]:
-    """Return ports that are free now, for TCP, each another one."""
+    """Return distinct TCP ports that are free at the moment."""
     found: list[int] = []
     with contextlib.ExitStack() as stack:
         while len(found) < count:
-            # Other processes look for ports too: a seed would let them collide.
+            # Unseeded, so that concurrent processes do not try the same ports.
             port = random.SystemRandom().choice(PORTS)
             with contextlib.suppress(OSError):
                 stack.enter_context(socket.create_server((HOST, port)))
@@ -32,5 +32,5 @@
 
 
 def find_port() -> int:
-    """Return one such port."""
+    """Return one TCP port that is free at the moment."""
     return find_ports(1)[0]
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the stand-ins."""
--- a/tests/standins/test_command.py
+++ b/tests/standins/test_command.py
@@ -1,4 +1,4 @@
-"""The command that runs one stand-in alone."""
+"""Tests of the command that runs a single stand-in."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from standins import command
 
-EXIT_SECONDS = 20
+EXIT_TIMEOUT_SECONDS = 20
 
 
 @pytest.mark.parametrize(
@@ -21,7 +21,7 @@
         (["store", "--nope"], "Unknown command line flag 'nope'"),
     ],
 )
-def test_wrong_command_line_is_one_line_and_exit_2(
+def test_usage_error_prints_one_line_and_exits_with_2(
     arguments: list[str], expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert command.main(["celeryspan-standin", *arguments]) == 2
@@ -40,7 +40,7 @@
     ("kind", "path"),
     [("store", "/_calls"), ("engine", "/load"), ("service", "/load")],
 )
-def test_serves_until_a_signal(kind: str, path: str) -> None:
+def test_serves_until_sigterm(kind: str, path: str) -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "standins.command", kind, "--port=0"],
         stdout=subprocess.PIPE,
@@ -50,7 +50,7 @@
         address = process.stdout.readline().split()[-1]
         assert urllib3.request("GET", f"http://{address}{path}").status == 200
         process.terminate()
-        assert process.wait(EXIT_SECONDS) == 0
+        assert process.wait(EXIT_TIMEOUT_SECONDS) == 0
     finally:
         process.kill()
         process.communicate()
--- a/tests/standins/test_ports.py
+++ b/tests/standins/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are kept for processes that start later."""
+"""Tests of the search for free ports."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from standins import ports
 
 
-def test_free_port_is_none_that_the_kernel_hands_out() -> None:
-    """A router is told its ports before it starts; meanwhile others open sockets.
+def test_free_ports_are_below_the_ephemeral_range() -> None:
+    """Guards against a router that can't bind the port it was given.
 
-    The kernel gives one of the ports to a connection, the router can't bind it and
-    ends, and a soak waits for a router that never comes.
+    A port from the ephemeral range can be assigned to another socket before the router
+    starts; the router then exits, and a soak test waits for it until it times out.
     """
-    found = ports.find_ports(12)
-    assert len(set(found)) == 12
+    free = ports.find_ports(12)
+    assert len(set(free)) == 12
     with socket.create_server(("127.0.0.1", 0)) as other:
-        given = other.getsockname()[1]
-    assert max(found) < min(given, 32_768)
+        ephemeral = other.getsockname()[1]
+    assert max(free) < min(ephemeral, 32_768)
