--- a/standins/batch.py
+++ b/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of a model engine: runs, slots, prefix cache, tokens in time."""
+"""Simulates a model engine's continuous batching, prefix cache and token timing."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from standins import prefixes
 
 STEP_SECONDS_MIN = 0.002
-"""The batch is looked at no more often than this; faster tokens come several a step."""
+"""Minimum time between two steps; at faster rates a step emits several tokens."""
 
-CACHE_EVENTS_KEPT = 4096
+CACHE_EVENTS_MAX = 4096
 
 LENGTH_SIGMA = 0.8
-"""Spread of answer lengths around their median: lognormal, a few are far longer."""
+"""Sigma of the lognormal distribution of answer lengths, which has a long tail."""
 
 
 class RunState(enum.Enum):
-    """How far one run of a request has come."""
+    """Progress of a run."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Run:
-    """One run of one request; its tokens stay readable after the end."""
+    """One execution of a request; its tokens stay readable after it ends."""
 
     request: str
     digest: str
@@ -43,28 +43,28 @@
     started: float
     state: RunState = RunState.WAITING
     cached_tokens: int = 0
-    ready: float = 0.0
+    prefilled_at: float = 0.0
     done_tokens: int = 0
 
     def render_tokens(self, start: int, end: int) -> list[str]:
-        """Return tokens by position; each names its prompt, so that mixing shows."""
-        return [f"{self.digest}.{place} " for place in range(start, end)]
+        """Return a range of tokens; each holds the digest, which exposes mix-ups."""
+        return [f"{self.digest}.{index} " for index in range(start, end)]
 
-    def is_over(self) -> bool:
-        """Return whether no further token will come."""
+    def is_finished(self) -> bool:
+        """Return whether the run produces no further tokens."""
         return self.state in (RunState.DONE, RunState.CANCELLED)
 
 
 @dataclasses.dataclass(slots=True)
-class Speeds:
-    """How fast a batch works.
+class Timings:
+    """Time that a batch takes for prefill and for each token.
 
     Attributes
     ----------
     token_seconds : float
-        Time between two tokens of one run, in seconds; 0 gives all at once.
+        Time between two tokens of a run, in seconds; 0 produces all at once.
     prefill_seconds : float
-        Time for each prompt token that is not in the cache, in seconds.
+        Time per prompt token that is not in the cache, in seconds.
     """
 
     token_seconds: float = 0.01
@@ -72,11 +72,11 @@
 
 
 class Batch:
-    """Runs requests in slots, one token of each at a time.
+    """Runs up to ``slots`` requests concurrently and queues the rest.
 
     Parameters
     ----------
-    changed : callable
+    on_change : callable
         Called whenever a run starts or ends.
     """
 
@@ -85,28 +85,28 @@
         *,
         slots: int,
         cache_blocks: int,
-        speeds: Speeds,
-        changed: Callable[[], None],
+        timings: Timings,
+        on_change: Callable[[], None],
     ) -> None:
         self.slots = slots
-        self.speeds = speeds
+        self.timings = timings
         self.cache = PrefixCache(cache_blocks)
         self.runs: list[Run] = []
         self.waiting: collections.deque[Run] = collections.deque()
         self.running: list[Run] = []
         self.tokens_total = 0
         self._latest: dict[str, Run] = {}
-        self._report_change = changed
+        self._on_change = on_change
         self._changed = threading.Condition()
         self._stopping = False
-        self._thread = threading.Thread(target=self._work, name="batch", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="batch", daemon=True)
 
     def start(self) -> None:
-        """Generate in a thread."""
+        """Start generating in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End generation; readers see the tokens so far and no end."""
+        """Stop generating; readers get the tokens so far, without an end."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
@@ -114,7 +114,7 @@
             self._thread.join()
 
     def add(self, request: str, messages: list[dict], length: int) -> Run:
-        """Queue one run."""
+        """Queue a run of a request."""
         prompt = prefixes.split_tokens(messages)
         run = Run(request, digest_prompt(messages), length, prompt, time.time())
         with self._changed:
@@ -125,13 +125,13 @@
         return run
 
     def find(self, request: str) -> Run | None:
-        """Return the newest run of a request."""
+        """Return the latest run of a request, or None."""
         return self._latest.get(request)
 
     def cancel(self, run: Run) -> None:
-        """End a run at once."""
+        """Cancel a run immediately."""
         with self._changed:
-            if run.is_over():
+            if run.is_finished():
                 return
             run.state = RunState.CANCELLED
             if run in self.running:
@@ -139,21 +139,21 @@
             else:
                 self.waiting.remove(run)
             self._changed.notify_all()
-        self._report_change()
+        self._on_change()
 
     def read(self, run: Run, offset: int) -> Iterator[tuple[int, list[str]]]:
-        """Yield tokens from an offset on, as they come, until the run is over."""
+        """Yield tokens from an offset on, as they are generated, until the run ends."""
         while True:
             with self._changed:
                 while run.done_tokens <= offset:
-                    if run.is_over() or self._stopping:
+                    if run.is_finished() or self._stopping:
                         return
                     self._changed.wait()
                 end = run.done_tokens
             yield offset, run.render_tokens(offset, end)
             offset = end
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         while True:
             with self._changed:
                 while not (self.running or self.waiting or self._stopping):
@@ -164,31 +164,32 @@
                 self._admit()
                 ended = self._generate(time.monotonic())
                 if ended or len(self.running) != before:
-                    self._report_change()
-            step = max(self.speeds.token_seconds, STEP_SECONDS_MIN)
+                    self._on_change()
+            step = max(self.timings.token_seconds, STEP_SECONDS_MIN)
             if not (ended and self.waiting):
                 time.sleep(step)
 
     def _admit(self) -> None:
         while self.waiting and len(self.running) < self.slots:
             run = self.waiting.popleft()
-            hits = self.cache.use(prefixes.chain_blocks(run.prompt))
+            hits = self.cache.store(prefixes.hash_blocks(run.prompt))
             run.cached_tokens = hits * prefixes.BLOCK_TOKENS
             missing = len(run.prompt) - run.cached_tokens
-            run.ready = time.monotonic() + missing * self.speeds.prefill_seconds
+            run.prefilled_at = time.monotonic() + missing * self.timings.prefill_seconds
             run.state = RunState.RUNNING
             self.running.append(run)
 
     def _generate(self, now: float) -> bool:
         ended = False
         for run in list(self.running):
-            due = run.length
-            if self.speeds.token_seconds > 0:
-                due = math.floor((now - run.ready) / self.speeds.token_seconds) + 1
-            due = max(run.done_tokens, min(due, run.length))
-            self.tokens_total += due - run.done_tokens
-            run.done_tokens = due
-            if due == run.length:
+            generated = run.length
+            if self.timings.token_seconds > 0:
+                elapsed = now - run.prefilled_at
+                generated = math.floor(elapsed / self.timings.token_seconds) + 1
+            generated = max(run.done_tokens, min(generated, run.length))
+            self.tokens_total += generated - run.done_tokens
+            run.done_tokens = generated
+            if generated == run.length:
                 run.state = RunState.DONE
                 self.running.remove(run)
                 ended = True
@@ -197,7 +198,7 @@
 
 
 class PrefixCache:
-    """Blocks in order of last use; the least recently used is evicted."""
+    """LRU cache of prompt blocks that publishes its changes as events."""
 
     def __init__(self, blocks_max: int) -> None:
         self.blocks_max = blocks_max
@@ -205,12 +206,12 @@
         self.gap_every = 0
         self._blocks: collections.OrderedDict[int, None] = collections.OrderedDict()
         self._events: collections.deque[tuple[float, dict]] = collections.deque(
-            maxlen=CACHE_EVENTS_KEPT
+            maxlen=CACHE_EVENTS_MAX
         )
         self._sequence = 0
 
-    def use(self, blocks: list[int]) -> int:
-        """Store the blocks of a prompt; return how many of the first were there."""
+    def store(self, blocks: list[int]) -> int:
+        """Store the blocks of a prompt; returns how many leading blocks were cached."""
         hits = 0
         for block in blocks:
             if block not in self._blocks:
@@ -226,10 +227,16 @@
             self._publish("evicted", block)
         return hits
 
-    def show_events(self, after: int) -> dict:
-        """Return the published events above a number; some are missing for good."""
+    def list_events(self, after: int) -> dict:
+        """Return the visible events after a number.
+
+        If ``gap_every`` is set, every event whose number it divides is left out for
+        good, as if it had been lost.
+        """
         now = time.monotonic()
-        events = [event for visible, event in list(self._events) if visible <= now]
+        events = [
+            event for visible_at, event in list(self._events) if visible_at <= now
+        ]
         last = max((event["seq"] for event in events), default=0)
         return {
             "events": [
@@ -248,13 +255,13 @@
 
 
 def digest_prompt(messages: list[dict]) -> str:
-    """Return a short name of a prompt, which each token of its answer carries."""
+    """Return a short digest of a prompt; each token of its answer contains it."""
     text = "\n".join(f"{item['role']}\n{item['content']}" for item in messages)
     return hashlib.sha256(text.encode()).hexdigest()[:8]
 
 
-def draw_length(messages: list[dict], median: float, longest: int) -> int:
-    """Return an answer's length, the same each time for the same prompt."""
-    seeded = random.Random(digest_prompt(messages))
-    drawn = seeded.lognormvariate(math.log(median), LENGTH_SIGMA)
-    return max(1, min(round(drawn), longest))
+def sample_length(messages: list[dict], median: float, limit: int) -> int:
+    """Return a random answer length, which is the same for equal prompts."""
+    generator = random.Random(digest_prompt(messages))
+    length = generator.lognormvariate(math.log(median), LENGTH_SIGMA)
+    return max(1, min(round(length), limit))
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: streams, resume, cancel, cache events, load, orders."""
+"""Stand-in for a model engine: streaming, resuming, cancelling, load and orders."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 MAX_TOKENS_DEFAULT = 64
 THREADS = 96
-"""Calls at once: running and queued generations, and reports beside them."""
+"""Concurrent calls: running and queued generations as well as status requests."""
 
 
 class Engine(web.StandIn):
-    """A model engine that admits requests as they arrive and knows no priorities.
+    """A model engine that admits requests in order of arrival, without priorities.
 
-    A run goes on when its connection breaks, so that its stream can be resumed.
+    A run continues when its connection breaks, so that its stream can be resumed.
 
     Parameters
     ----------
     model : str
-        The model it serves; empty serves any.
+        The model that it serves; if empty, it serves any model.
     answer_tokens : float
-        Median length of answers; 0 makes each as long as its ``max_tokens``.
+        Median length of answers in tokens; 0 uses the ``max_tokens`` of each request.
     cache_blocks : int
         Size of the prefix cache, in blocks.
     checks_fence : bool
-        Whether an order with an old fencing number is refused.
+        Whether an order with an outdated fencing token is rejected.
     load_seconds : float
-        Time that an order to load takes, in seconds.
+        Time that loading a model takes, in seconds.
     """
 
     def __init__(
@@ -62,22 +62,22 @@
         self._loading_until = 0.0
         self._lock = threading.Lock()
         self._load = slots_module.LoadReport(load_lag_seconds)
-        self._last_count = (time.monotonic(), 0)
+        self._last_token_count = (time.monotonic(), 0)
         self.batch = batch_module.Batch(
             slots=slots,
             cache_blocks=cache_blocks,
-            speeds=batch_module.Speeds(token_seconds, prefill_seconds),
-            changed=self._note_load,
+            timings=batch_module.Timings(token_seconds, prefill_seconds),
+            on_change=self._record_load,
         )
-        self._note_load()
+        self._record_load()
 
     def start(self) -> None:
-        """Serve and generate."""
+        """Start serving and generating."""
         self.batch.start()
         super().start()
 
     def stop(self) -> None:
-        """End generation and serving."""
+        """Stop generating and serving."""
         self.stopping.set()
         self.batch.stop()
         super().stop()
@@ -92,9 +92,9 @@
         silence_open: bool = False,
         **fields: object,
     ) -> None:
-        """Change the behaviour; the same fields as ``POST /_control``."""
+        """Change the behaviour; takes the same fields as ``POST /_control``."""
         if token_seconds is not None:
-            self.batch.speeds.token_seconds = token_seconds
+            self.batch.timings.token_seconds = token_seconds
         if load_lag_seconds is not None:
             self._load.lag_seconds = load_lag_seconds
         if gap_every is not None:
@@ -107,10 +107,10 @@
             setattr(self, name, fields.pop(name, getattr(self, name)))
         if fields:
             raise ValueError(f"unknown fields: {', '.join(sorted(fields))}")
-        self._note_load()
+        self._record_load()
 
-    def show_journal(self) -> dict:
-        """Return each run, and each order that was carried out."""
+    def read_journal(self) -> dict:
+        """Return all runs, and all orders that were accepted."""
         runs = [
             {
                 "request": run.request,
@@ -123,63 +123,69 @@
         return {"runs": runs, "orders": list(self.orders)}
 
     def handle(self, request: web.Request) -> web.Response:
-        """Answer one call."""
+        """Handle one request."""
         match request.method, request.path:
             case "POST", "/_control":
                 self.control(**request.read_json())
                 return web.Response(HTTPStatus.NO_CONTENT)
             case "GET", "/_journal":
-                return web.answer_json(self.show_journal())
+                return web.make_json_response(self.read_journal())
             case "GET", "/load":
-                return web.answer_json(self._load.show())
+                return web.make_json_response(self._load.read())
             case "GET", "/cache-events":
                 after = int(request.query.get("after", "0"))
-                return web.answer_json(self.batch.cache.show_events(after))
+                return web.make_json_response(self.batch.cache.list_events(after))
             case "GET", "/state":
-                return web.answer_json(self._show_state())
+                return web.make_json_response(self._read_state())
             case "POST", "/orders":
-                return self._take_order(request.read_json())
+                return self._apply_order(request.read_json())
             case "POST", "/generate":
                 return self._generate(request)
             case "GET" | "DELETE", path if path.startswith("/generate/"):
                 return self._handle_run(request, path.removeprefix("/generate/"))
-        return web.answer_json({"error": "no such path"}, HTTPStatus.NOT_FOUND)
+        return web.make_json_response({"error": "no such path"}, HTTPStatus.NOT_FOUND)
 
     def _generate(self, request: web.Request) -> web.Response:
         if self.leaving:
-            return web.answer_json({"error": "leaving"}, HTTPStatus.SERVICE_UNAVAILABLE)
-        asked = request.read_json()
-        model = self._show_state()["model"]
-        if model and asked["model"] != model:
-            return web.answer_json({"error": "model not loaded"}, HTTPStatus.CONFLICT)
-        longest = int(asked.get("max_tokens") or MAX_TOKENS_DEFAULT)
-        length = longest
+            return web.make_json_response(
+                {"error": "leaving"}, HTTPStatus.SERVICE_UNAVAILABLE
+            )
+        body = request.read_json()
+        model = self._read_state()["model"]
+        if model and body["model"] != model:
+            return web.make_json_response(
+                {"error": "model not loaded"}, HTTPStatus.CONFLICT
+            )
+        limit = int(body.get("max_tokens") or MAX_TOKENS_DEFAULT)
+        length = limit
         if self.answer_tokens:
-            length = batch_module.draw_length(
-                asked["messages"], self.answer_tokens, longest
+            length = batch_module.sample_length(
+                body["messages"], self.answer_tokens, limit
             )
-        run = self.batch.add(asked["request"], asked["messages"], length)
-        self._note_load()
-        return self._stream(request, run, 0, longest)
+        run = self.batch.add(body["request"], body["messages"], length)
+        self._record_load()
+        return self._stream(request, run, 0, limit)
 
     def _handle_run(self, request: web.Request, name: str) -> web.Response:
         run = self.batch.find(name)
         if run is None:
-            return web.answer_json({"error": "unknown request"}, HTTPStatus.NOT_FOUND)
+            return web.make_json_response(
+                {"error": "unknown request"}, HTTPStatus.NOT_FOUND
+            )
         if request.method == "DELETE":
             self.batch.cancel(run)
             return web.Response(HTTPStatus.NO_CONTENT)
         return self._stream(request, run, int(request.query.get("offset", "0")))
 
     def _stream(
-        self, request: web.Request, run: batch_module.Run, offset: int, longest: int = 0
+        self, request: web.Request, run: batch_module.Run, offset: int, limit: int = 0
     ) -> web.Response:
-        lines = self._render_lines(request, run, offset, longest)
+        lines = self._render_lines(request, run, offset, limit)
         headers = {"Content-Type": "application/x-ndjson"}
         return web.Response(HTTPStatus.OK, lines, headers)
 
     def _render_lines(
-        self, request: web.Request, run: batch_module.Run, offset: int, longest: int
+        self, request: web.Request, run: batch_module.Run, offset: int, limit: int
     ) -> Iterator[bytes]:
         sent = 0
         for start, tokens in self.batch.read(run, offset):
@@ -189,13 +195,13 @@
             if cut and sent + len(tokens) >= cut:
                 self.cut_after_tokens = 0
                 yield _render(run, start, {"tokens": tokens[: cut - sent]})
-                raise web.CutError
+                raise web.DropConnection
             yield _render(run, start, {"tokens": tokens})
             sent += len(tokens)
         if self.silent:
             self.keep_silent(request)
         if run.state is not batch_module.RunState.DONE:
-            raise web.CutError
+            raise web.DropConnection
         yield _render(
             run,
             run.length,
@@ -203,15 +209,15 @@
                 "done": True,
                 "prompt_tokens": len(run.prompt),
                 "cached_tokens": run.cached_tokens,
-                "finish_reason": "length" if run.length == longest else "stop",
+                "finish_reason": "length" if run.length == limit else "stop",
             },
         )
 
-    def _take_order(self, order: dict) -> web.Response:
+    def _apply_order(self, order: dict) -> web.Response:
         with self._lock:
             fence = int(order["fence"])
             if self.checks_fence and fence < self._fence:
-                return web.answer_json(
+                return web.make_json_response(
                     {"error": "old fence", "fence": self._fence}, HTTPStatus.CONFLICT
                 )
             self._fence = max(self._fence, fence) if self.checks_fence else fence
@@ -220,22 +226,24 @@
             self._state |= changes
             if order["kind"] == "load":
                 self._loading_until = time.monotonic() + self.load_seconds
-        return web.answer_json({}, HTTPStatus.ACCEPTED)
+        return web.make_json_response({}, HTTPStatus.ACCEPTED)
 
-    def _show_state(self) -> dict:
+    def _read_state(self) -> dict:
         with self._lock:
             loading = time.monotonic() < self._loading_until
             return self._state | {"fence": self._fence, "loading": loading}
 
-    def _note_load(self) -> None:
-        then, before = self._last_count
+    def _record_load(self) -> None:
+        sampled_at, previous = self._last_token_count
         now, total = time.monotonic(), self.batch.tokens_total
-        self._last_count = (now, total)
-        self._load.note(
+        self._last_token_count = (now, total)
+        self._load.record(
             slots=self.batch.slots,
             running=len(self.batch.running),
             waiting=len(self.batch.waiting),
-            tokens_per_second=round((total - before) / max(now - then, 1e-3), 1),
+            tokens_per_second=round(
+                (total - previous) / max(now - sampled_at, 1e-3), 1
+            ),
             leaving=self.leaving,
         )
 
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -92,14 +92,14 @@
             self.keep_silent(request)
         if self.faults.refuse_status:
             status = HTTPStatus(self.faults.refuse_status)
-            return web.answer_json({"error": "refused"}, status)
+            return web.make_json_response({"error": "refused"}, status)
         if request.method == "GET":
             return self._read(kind, name, request.query)
         with self._changed:
             answer = self._handle_write(kind, name, request)
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise web.CutError
+            raise web.DropConnection
         return answer
 
     def _read(self, kind: str, name: str, query: dict[str, str]) -> web.Response:
@@ -109,12 +109,12 @@
             if name:
                 found = self._objects[kind].get(name)
                 if found is None:
-                    return web.answer_json({}, HTTPStatus.NOT_FOUND)
-                return web.answer_json(found)
+                    return web.make_json_response({}, HTTPStatus.NOT_FOUND)
+                return web.make_json_response(found)
             names = sorted(n for n in self._objects[kind] if n > query.get("after", ""))
             entries = [self._objects[kind][n] for n in names[: self.page]]
             more = len(names) > self.page
-            return web.answer_json(
+            return web.make_json_response(
                 {"entries": entries, "has_more": more, "at": self._revision}
             )
 
@@ -124,7 +124,7 @@
         with self._changed:
             while True:
                 if at < self._forgotten:
-                    return web.answer_json({}, HTTPStatus.GONE)
+                    return web.make_json_response({}, HTTPStatus.GONE)
                 events = [
                     {"object": found, "deleted": gone}
                     for revision, changed, found, gone in self._changes
@@ -132,7 +132,9 @@
                 ]
                 left = until - time.monotonic()
                 if events or left <= 0 or self.stopping.is_set():
-                    return web.answer_json({"events": events, "at": self._revision})
+                    return web.make_json_response(
+                        {"events": events, "at": self._revision}
+                    )
                 self._changed.wait(min(left, 0.1))
 
     def _handle_write(self, kind: str, name: str, request: web.Request) -> web.Response:
@@ -142,25 +144,27 @@
         name = name.removesuffix("/status")
         found = self._objects[kind].get(name)
         if found is None:
-            return web.answer_json({}, HTTPStatus.NOT_FOUND)
+            return web.make_json_response({}, HTTPStatus.NOT_FOUND)
         asked = request.query.get("revision", body.get("metadata", {}).get("revision"))
         if asked is not None and int(asked) != found["metadata"]["revision"]:
-            return web.answer_json(found, HTTPStatus.CONFLICT)
+            return web.make_json_response(found, HTTPStatus.CONFLICT)
         if request.method == "DELETE":
             self._remove(kind, name)
-            return web.answer_json({})
+            return web.make_json_response({})
         if request.path.endswith("/status"):
             self._write(kind, name, found["spec"], body.get("status"))
         else:
             self._write(kind, name, body.get("spec"), found["status"])
-        return web.answer_json(self._objects[kind][name])
+        return web.make_json_response(self._objects[kind][name])
 
     def _create(self, kind: str, body: dict) -> web.Response:
         name = body["metadata"]["name"]
         if name in self._objects[kind]:
-            return web.answer_json(self._objects[kind][name], HTTPStatus.CONFLICT)
+            return web.make_json_response(
+                self._objects[kind][name], HTTPStatus.CONFLICT
+            )
         self._write(kind, name, body.get("spec"))
-        return web.answer_json(self._objects[kind][name])
+        return web.make_json_response(self._objects[kind][name])
 
     def _write(self, kind: str, name: str, spec: object, status: object = None) -> int:
         self._revision += 1
--- a/standins/service.py
+++ b/standins/service.py
@@ -61,7 +61,7 @@
         self._slots = slots_module.Slots(slots)
         self._load = slots_module.LoadReport(load_lag_seconds)
         self._lock = threading.Lock()
-        self._note_load()
+        self._record_load()
 
     def control(self, **faults: object) -> None:
         """Change the behaviour; the same fields as ``POST /_control``."""
@@ -70,7 +70,7 @@
         self._load.lag_seconds = faults.pop("load_lag_seconds", self._load.lag_seconds)
         with self._lock:
             self.faults = dataclasses.replace(self.faults, **faults)
-        self._note_load()
+        self._record_load()
 
     def handle(self, request: web.Request) -> web.Response:
         """Answer one call."""
@@ -78,26 +78,28 @@
             self.control(**request.read_json())
             return web.Response(HTTPStatus.NO_CONTENT)
         if request.path == "/_journal":
-            return web.answer_json({"calls": self.journal})
+            return web.make_json_response({"calls": self.journal})
         if request.path == "/load" and request.method == "GET":
-            return web.answer_json(self._load.show())
+            return web.make_json_response(self._load.read())
         if self.faults.leaving:
-            return web.answer_json({"error": "leaving"}, HTTPStatus.SERVICE_UNAVAILABLE)
+            return web.make_json_response(
+                {"error": "leaving"}, HTTPStatus.SERVICE_UNAVAILABLE
+            )
         cut = self._take_cut()
         if cut == "before":
-            raise web.CutError
+            raise web.DropConnection
         answer = self._carry_out(request)
         if self.faults.silent:
             self.keep_silent(request)
         if cut == "after":
-            raise web.CutError
+            raise web.DropConnection
         if cut == "middle":
             answer.body = _cut_in_the_middle(answer.body)
         return answer
 
     def _carry_out(self, request: web.Request) -> web.Response:
-        with self._slots.hold():
-            self._note_load()
+        with self._slots.acquire():
+            self._record_load()
             call = {
                 "request": request.headers.get("celeryspan-request-id", ""),
                 "method": request.method,
@@ -109,9 +111,11 @@
                 self.journal.append(call)
             self.stopping.wait(self.faults.work_seconds)
             call["ended"] = time.time()
-        self._note_load()
+        self._record_load()
         shown = {name: call[name] for name in ("request", "path", "method")}
-        return web.answer_json(shown | {"body": request.body.decode(errors="replace")})
+        return web.make_json_response(
+            shown | {"body": request.body.decode(errors="replace")}
+        )
 
     def _take_cut(self) -> str | None:
         with self._lock:
@@ -120,8 +124,8 @@
             self.faults.cut_count -= 1
             return self.faults.cut
 
-    def _note_load(self) -> None:
-        self._load.note(
+    def _record_load(self) -> None:
+        self._load.record(
             slots=self._slots.slots,
             running=self._slots.running,
             waiting=self._slots.waiting,
@@ -131,4 +135,4 @@
 
 def _cut_in_the_middle(body: bytes) -> Iterator[bytes]:
     yield body[: len(body) // 2]
-    raise web.CutError
+    raise web.DropConnection
--- a/standins/slots.py
+++ b/standins/slots.py
@@ -1,4 +1,4 @@
-"""Slots of a backend server and its report of load, which lags."""
+"""Concurrency slots of a backend server and its delayed load report."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import time
 from collections.abc import Iterator
 
-REPORTS_KEPT = 4096
+SAMPLES_MAX = 4096
 
 
 class Slots:
-    """At most ``slots`` calls run at once; the rest wait in order of arrival."""
+    """Runs at most ``slots`` calls concurrently; the rest wait in order of arrival."""
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
@@ -22,17 +22,17 @@
 
     @property
     def waiting(self) -> int:
-        """How many calls wait for a slot."""
+        """Number of calls that wait for a slot."""
         return len(self._queue)
 
     @contextlib.contextmanager
-    def hold(self) -> Iterator[None]:
-        """Wait for a slot, and give it back at the end."""
-        place = object()
+    def acquire(self) -> Iterator[None]:
+        """Acquire a slot, waiting for one if needed, and release it on exit."""
+        waiter = object()
         with self._changed:
-            self._queue.append(place)
+            self._queue.append(waiter)
             self._changed.wait_for(
-                lambda: self._queue[0] is place and self.running < self.slots
+                lambda: self._queue[0] is waiter and self.running < self.slots
             )
             self._queue.popleft()
             self.running += 1
@@ -46,19 +46,19 @@
 
 
 class LoadReport:
-    """Remembers loads, and shows the one of some seconds ago."""
+    """Records load samples and reports them ``lag_seconds`` late."""
 
     def __init__(self, lag_seconds: float = 0.0) -> None:
         self.lag_seconds = lag_seconds
-        self._reports: collections.deque[dict] = collections.deque(maxlen=REPORTS_KEPT)
+        self._samples: collections.deque[dict] = collections.deque(maxlen=SAMPLES_MAX)
 
-    def note(self, **load: object) -> None:
-        """Remember the load as it is now."""
-        self._reports.append(load | {"as_of": time.time()})
+    def record(self, **load: object) -> None:
+        """Record a sample of the current load."""
+        self._samples.append(load | {"as_of": time.time()})
 
-    def show(self) -> dict:
-        """Return the newest load that is older than the lag, or the oldest known."""
-        visible = time.time() - self.lag_seconds
-        reports = list(self._reports)
-        older = [report for report in reports if report["as_of"] <= visible]
-        return older[-1] if older else reports[0]
+    def read(self) -> dict:
+        """Return the newest sample older than the lag, or the oldest one if none is."""
+        latest = time.time() - self.lag_seconds
+        samples = list(self._samples)
+        due = [sample for sample in samples if sample["as_of"] <= latest]
+        return due[-1] if due else samples[0]
--- a/standins/store.py
+++ b/standins/store.py
@@ -80,24 +80,28 @@
             self.control(**request.read_json())
             return web.Response(HTTPStatus.NO_CONTENT)
         if request.path == "/_calls":
-            return web.answer_json(dict(self.calls))
+            return web.make_json_response(dict(self.calls))
         if request.path == "/_vms":
             self.set_vms(**request.read_json())
             return web.Response(HTTPStatus.NO_CONTENT)
         if request.path == "/vms":
             self.calls["vms"] += 1
-            return web.answer_json({"vms": self._find_vms()})
+            return web.make_json_response({"vms": self._find_vms()})
         return self._handle_object_call(request)
 
     def _handle_object_call(self, request: web.Request) -> web.Response:
         _, kind, key = [*request.path.split("/", 2), "", ""][:3]
         if kind not in ("objects", "list"):
-            return web.answer_json({"error": "no such path"}, HTTPStatus.NOT_FOUND)
+            return web.make_json_response(
+                {"error": "no such path"}, HTTPStatus.NOT_FOUND
+            )
         self.calls[_name_call(request, kind)] += 1
         if self.faults.slow_seconds:
             self.stopping.wait(self.faults.slow_seconds)
         if self.faults.down:
-            return web.answer_json({"error": "down"}, HTTPStatus.SERVICE_UNAVAILABLE)
+            return web.make_json_response(
+                {"error": "down"}, HTTPStatus.SERVICE_UNAVAILABLE
+            )
         if kind == "list":
             return self._list(request.query.get("prefix", ""))
         if request.method == "GET" and "above" in request.query:
@@ -122,7 +126,7 @@
         with self._changed:
             while not self.stopping.is_set():
                 if self.faults.down:
-                    return web.answer_json(
+                    return web.make_json_response(
                         {"error": "down"}, HTTPStatus.SERVICE_UNAVAILABLE
                     )
                 entry = self._entries.get(key)
@@ -136,7 +140,7 @@
 
     def _write(self, key: str, request: web.Request) -> web.Response:
         if len(request.body) > VALUE_BYTES_MAX:
-            return web.answer_json(
+            return web.make_json_response(
                 {"error": "value above 1 MiB"}, HTTPStatus.REQUEST_ENTITY_TOO_LARGE
             )
         with self._changed:
@@ -147,7 +151,7 @@
                 self.faults.lose_answers -= 1
             self._changed.notify_all()
         if lose:
-            raise web.CutError
+            raise web.DropConnection
         return response
 
     def _write_locked(self, key: str, request: web.Request) -> web.Response:
@@ -155,7 +159,7 @@
         create = request.headers.get("if-none-match") == "*"
         expected = request.headers.get("if-match", "").strip('"')
         if not create and not expected:
-            return web.answer_json(
+            return web.make_json_response(
                 {"error": "a write needs a condition"}, HTTPStatus.PRECONDITION_REQUIRED
             )
         if request.method == "DELETE" and entry.value is None:
@@ -181,7 +185,7 @@
                 for key, entry in sorted(self._entries.items())
                 if key.startswith(prefix) and entry.value is not None
             ]
-        return web.answer_json({"keys": keys})
+        return web.make_json_response({"keys": keys})
 
     def _find_vms(self) -> list[dict]:
         now = time.monotonic()
@@ -203,6 +207,6 @@
 
 def _answer_value(version: int, value: bytes | None) -> web.Response:
     if value is None:
-        return web.answer_json({"error": "no such key"}, HTTPStatus.NOT_FOUND)
+        return web.make_json_response({"error": "no such key"}, HTTPStatus.NOT_FOUND)
     headers = _tag(version) | {"Content-Type": "application/octet-stream"}
     return web.Response(HTTPStatus.OK, value, headers)
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""One HTTP server of a stand-in: start, stop, and faults of its connections."""
+"""HTTP server that the stand-ins share, with injection of connection faults."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from celeryspan import ids
 
 THREADS = 48
-"""Greatest number of calls in progress: above the slots of any example server."""
+"""Maximum number of concurrent calls; exceeds the slots of any example server."""
 
-KEEP_ALIVE_MAX = 1000
-"""Open connections kept; the library's 10 would close most of a fleet's pools."""
+KEEP_ALIVE_CONNECTIONS_MAX = 1000
+"""Idle connections kept open; cheroot's default of 10 would close most pooled ones."""
 
-SILENCE_POLL_SECONDS = 0.05
+CLOSE_POLL_SECONDS = 0.05
 
-SELECT_SECONDS = 0.05
-"""Pause of the server's loop, which bounds the time that a stop takes."""
+SELECT_INTERVAL_SECONDS = 0.05
+"""Interval of the server's select loop, which bounds how long a stop takes."""
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One call as a stand-in sees it."""
+    """A request as a stand-in receives it."""
 
     method: str
     path: str
@@ -48,65 +48,65 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """One answer; an iterable body is streamed."""
+    """A response; an iterable body is streamed."""
 
     status: HTTPStatus = HTTPStatus.OK
     body: bytes | Iterable[bytes] = b""
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
 
 
-class CutError(Exception):
-    """The connection is closed without a further byte."""
+class DropConnection(Exception):
+    """Raised by a handler to close the connection without sending further bytes."""
 
 
 class _Gateway(cheroot.wsgi.Gateway_10):
-    """Shows the connection to the application, so that it can be cut or silenced."""
+    """Passes the connection to the application, which can then close or stall it."""
 
     def get_environ(self) -> dict[str, Any]:
         return super().get_environ() | {"standin.connection": self.req.conn}
 
 
 class StandIn:
-    """Base of all stand-ins: one server on one port.
+    """Base class of the HTTP stand-ins: a server on one port.
 
     Subclasses implement :meth:`handle`.
 
     Parameters
     ----------
     port : int
-        Port on loopback; 0 lets the system choose.
+        Port on loopback; 0 picks a free one.
 
     Attributes
     ----------
     address : Address
-        Where the stand-in listens, once constructed.
+        Address that the stand-in listens on, known once it is constructed.
     """
 
     def __init__(
         self, *, port: int = 0, host: str = "127.0.0.1", threads: int = THREADS
     ) -> None:
         self._server = cheroot.wsgi.Server(
-            (host, port), self._answer, numthreads=threads
+            (host, port), self._respond, numthreads=threads
         )
         self._server.gateway = _Gateway
-        self._server.expiration_interval = SELECT_SECONDS
+        self._server.expiration_interval = SELECT_INTERVAL_SECONDS
         self._server.shutdown_timeout = 1
-        self._server.keep_alive_conn_limit = KEEP_ALIVE_MAX
+        self._server.keep_alive_conn_limit = KEEP_ALIVE_CONNECTIONS_MAX
         self._server.prepare()
         self.address = ids.Address(*self._server.bind_addr[:2])
         self.stopping = threading.Event()
-        self._open: weakref.WeakSet[Any] = weakref.WeakSet()
-        self._silenced: weakref.WeakSet[Any] = weakref.WeakSet()
+        self._open_connections: weakref.WeakSet[Any] = weakref.WeakSet()
+        self._silent_connections: weakref.WeakSet[Any] = weakref.WeakSet()
         self._thread = threading.Thread(
             target=self._serve, name=f"standin {self.address}", daemon=True
         )
 
     def handle(self, request: Request) -> Response:
-        """Answer one call."""
+        """Handle one request."""
         raise NotImplementedError
 
     def start(self) -> None:
-        """Serve in a thread."""
+        """Start serving in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
@@ -117,26 +117,26 @@
             self._thread.join()
 
     def silence_open_connections(self) -> None:
-        """Let all open connections go silent for good, while new ones work."""
-        self._silenced.update(list(self._open))
+        """Stop answering on all open connections; new connections still work."""
+        self._silent_connections.update(list(self._open_connections))
 
     def is_silent(self, request: Request) -> bool:
-        """Return whether this call's connection has gone silent."""
-        return request.connection in self._silenced
+        """Return whether the request's connection is no longer answered."""
+        return request.connection in self._silent_connections
 
     def keep_silent(self, request: Request) -> None:
-        """Send nothing on this connection until the other end closes it.
+        """Send nothing on this connection until the peer closes it.
 
         Raises
         ------
-        CutError
-            When the other end has closed or the stand-in stops.
+        DropConnection
+            Once the peer has closed the connection or the stand-in stops.
         """
-        self._silenced.add(request.connection)
-        while not self.stopping.wait(SILENCE_POLL_SECONDS):
-            if _is_closed(request.connection.socket):
+        self._silent_connections.add(request.connection)
+        while not self.stopping.wait(CLOSE_POLL_SECONDS):
+            if _is_closed_by_peer(request.connection.socket):
                 break
-        raise CutError
+        raise DropConnection
 
     def _serve(self) -> None:
         try:
@@ -145,21 +145,23 @@
             if not self.stopping.is_set():
                 raise
 
-    def _answer(
+    def _respond(
         self, environ: dict[str, Any], start_response: Callable
     ) -> Iterable[bytes]:
         request = _read_request(environ)
-        self._open.add(request.connection)
+        self._open_connections.add(request.connection)
         try:
             if self.is_silent(request):
                 self.keep_silent(request)
             response = self.handle(request)
-        except CutError:
-            _cut(request.connection)
+        except DropConnection:
+            _drop_connection(request.connection)
             start_response("500 Cut", [])
             return []
         except (KeyError, TypeError, ValueError) as error:
-            response = answer_json({"error": repr(error)}, HTTPStatus.BAD_REQUEST)
+            response = make_json_response(
+                {"error": repr(error)}, HTTPStatus.BAD_REQUEST
+            )
         status = HTTPStatus(response.status)
         headers = list(response.headers.items())
         if isinstance(response.body, bytes):
@@ -168,20 +170,22 @@
             start_response(f"{status.value} {status.phrase}", headers)
             return [response.body]
         start_response(f"{status.value} {status.phrase}", headers)
-        return self._send_parts(request, response.body)
+        return self._send_chunks(request, response.body)
 
-    def _send_parts(self, request: Request, parts: Iterable[bytes]) -> Iterable[bytes]:
+    def _send_chunks(
+        self, request: Request, chunks: Iterable[bytes]
+    ) -> Iterable[bytes]:
         try:
-            for part in parts:
+            for chunk in chunks:
                 if self.is_silent(request):
                     self.keep_silent(request)
-                yield part
-        except CutError:
-            _cut(request.connection)
+                yield chunk
+        except DropConnection:
+            _drop_connection(request.connection)
 
 
-def answer_json(value: object, status: HTTPStatus = HTTPStatus.OK) -> Response:
-    """Return an answer with a JSON body."""
+def make_json_response(value: object, status: HTTPStatus = HTTPStatus.OK) -> Response:
+    """Return a response with a JSON body."""
     body = json.dumps(value).encode()
     return Response(status, body, {"Content-Type": "application/json"})
 
@@ -202,17 +206,17 @@
     )
 
 
-def _cut(connection: cheroot.server.HTTPConnection) -> None:
-    """Close both directions now; the library's later writes then fail quietly."""
+def _drop_connection(connection: cheroot.server.HTTPConnection) -> None:
+    """Shut down both directions; cheroot ignores the errors of its later writes."""
     try:
         connection.socket.shutdown(socket.SHUT_RDWR)
     except OSError:
         return
 
 
-def _is_closed(end: socket.socket) -> bool:
+def _is_closed_by_peer(connection: socket.socket) -> bool:
     try:
-        readable, _, _ = select.select([end], [], [], 0)
-        return bool(readable) and not end.recv(1, socket.MSG_PEEK)
+        readable, _, _ = select.select([connection], [], [], 0)
+        return bool(readable) and not connection.recv(1, socket.MSG_PEEK)
     except (OSError, ValueError):
         return True
