--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's store of objects: revisions, watches, pages, faults."""
+"""Stand-in for the platform's object store: revisions, watches, pages and faults."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from standins import web
 
-PAGE = 500
+PAGE_SIZE = 500
 WATCH_SECONDS_MAX = 30.0
 
 
 @dataclasses.dataclass(slots=True)
 class ObjectFaults:
-    """What the stand-in has been told to do wrong.
+    """Faults that are set for the stand-in.
 
     Attributes
     ----------
     refuse_status : int
-        Answer all calls with this status and do nothing; 0 for none.
+        Status with which all calls are refused; 0 refuses none.
     lose_answers : int
-        So many writes take effect and are not answered.
+        Number of writes that take effect and are not answered.
     silent : bool
-        Answer nothing at all.
+        Do not answer any call.
     """
 
     refuse_status: int = 0
@@ -34,16 +34,16 @@
 
 
 class ObjectStore(web.StandIn):
-    """Objects by kind and name, in memory.
+    """Holds objects by kind and name in memory.
 
     Attributes
     ----------
     calls : Counter
-        Calls by method, watches apart.
+        Number of calls by method; watches count as ``WATCH``.
     calls_by_kind : Counter
-        The same by method and kind of objects.
-    page : int
-        Objects in one answer of a list.
+        Number of calls by method and object kind.
+    page_size : int
+        Maximum number of objects in one response to a list call.
     """
 
     def __init__(
@@ -53,15 +53,15 @@
         self.calls: collections.Counter[str] = collections.Counter()
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         self.faults = ObjectFaults()
-        self.page = PAGE
+        self.page_size = PAGE_SIZE
         self._revision = 1
         self._objects: dict[str, dict[str, dict]] = collections.defaultdict(dict)
         self._changes: list[tuple[int, str, dict, bool]] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._changed = threading.Condition()
 
     def put(self, kind: str, name: str, spec: object) -> int:
-        """Write an object as an operator or server does; returns its revision."""
+        """Write an object as an operator or a server does; returns its revision."""
         with self._changed:
             return self._write(kind, name, spec)
 
@@ -71,18 +71,18 @@
             self._remove(kind, name)
 
     def compact(self) -> None:
-        """Forget all history: watches of old revisions get 410."""
+        """Discard the history; watches from older revisions are answered with 410."""
         with self._changed:
-            self._forgotten = self._revision
+            self._compacted_revision = self._revision
             self._changes.clear()
             self._changed.notify_all()
 
     def find(self, kind: str, name: str) -> dict | None:
-        """Return an object, or None."""
+        """Return an object, or None if it does not exist."""
         return self._objects[kind].get(name)
 
     def handle(self, request: web.Request) -> web.Response:
-        """Answer one call of the object API."""
+        """Handle one request of the object API."""
         kind, _, name = request.path.removeprefix("/v1/objects/").partition("/")
         is_watch = "watch" in request.query
         method = "WATCH" if is_watch else request.method
@@ -107,54 +107,57 @@
             return self._watch(kind, int(query["watch"]), query)
         with self._changed:
             if name:
-                found = self._objects[kind].get(name)
-                if found is None:
+                stored = self._objects[kind].get(name)
+                if stored is None:
                     return web.make_json_response({}, HTTPStatus.NOT_FOUND)
-                return web.make_json_response(found)
-            names = sorted(n for n in self._objects[kind] if n > query.get("after", ""))
-            entries = [self._objects[kind][n] for n in names[: self.page]]
-            more = len(names) > self.page
+                return web.make_json_response(stored)
+            after = query.get("after", "")
+            names = sorted(key for key in self._objects[kind] if key > after)
+            entries = [self._objects[kind][key] for key in names[: self.page_size]]
+            has_more = len(names) > self.page_size
             return web.make_json_response(
-                {"entries": entries, "has_more": more, "at": self._revision}
+                {"entries": entries, "has_more": has_more, "at": self._revision}
             )
 
     def _watch(self, kind: str, at: int, query: dict[str, str]) -> web.Response:
         wait = min(int(query.get("wait_ms", 0)) / 1000, WATCH_SECONDS_MAX)
-        until = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         with self._changed:
             while True:
-                if at < self._forgotten:
+                if at < self._compacted_revision:
                     return web.make_json_response({}, HTTPStatus.GONE)
                 events = [
-                    {"object": found, "deleted": gone}
-                    for revision, changed, found, gone in self._changes
-                    if revision > at and changed == kind
+                    {"object": item, "deleted": deleted}
+                    for revision, changed_kind, item, deleted in self._changes
+                    if revision > at and changed_kind == kind
                 ]
-                left = until - time.monotonic()
-                if events or left <= 0 or self.stopping.is_set():
+                remaining = deadline - time.monotonic()
+                if events or remaining <= 0 or self.stopping.is_set():
                     return web.make_json_response(
                         {"events": events, "at": self._revision}
                     )
-                self._changed.wait(min(left, 0.1))
+                self._changed.wait(min(remaining, 0.1))
 
     def _handle_write(self, kind: str, name: str, request: web.Request) -> web.Response:
         body = request.read_json()
         if request.method == "POST":
             return self._create(kind, body)
         name = name.removesuffix("/status")
-        found = self._objects[kind].get(name)
-        if found is None:
+        stored = self._objects[kind].get(name)
+        if stored is None:
             return web.make_json_response({}, HTTPStatus.NOT_FOUND)
-        asked = request.query.get("revision", body.get("metadata", {}).get("revision"))
-        if asked is not None and int(asked) != found["metadata"]["revision"]:
-            return web.make_json_response(found, HTTPStatus.CONFLICT)
+        expected = request.query.get(
+            "revision", body.get("metadata", {}).get("revision")
+        )
+        if expected is not None and int(expected) != stored["metadata"]["revision"]:
+            return web.make_json_response(stored, HTTPStatus.CONFLICT)
         if request.method == "DELETE":
             self._remove(kind, name)
             return web.make_json_response({})
         if request.path.endswith("/status"):
-            self._write(kind, name, found["spec"], body.get("status"))
+            self._write(kind, name, stored["spec"], body.get("status"))
         else:
-            self._write(kind, name, body.get("spec"), found["status"])
+            self._write(kind, name, body.get("spec"), stored["status"])
         return web.make_json_response(self._objects[kind][name])
 
     def _create(self, kind: str, body: dict) -> web.Response:
@@ -168,9 +171,9 @@
 
     def _write(self, kind: str, name: str, spec: object, status: object = None) -> int:
         self._revision += 1
-        known = self._objects[kind].get(name)
-        created = known["metadata"]["created"] if known else self._revision
-        found = {
+        previous = self._objects[kind].get(name)
+        created = previous["metadata"]["created"] if previous else self._revision
+        stored = {
             "metadata": {
                 "name": name,
                 "revision": self._revision,
@@ -181,15 +184,15 @@
             "spec": spec,
             "status": status,
         }
-        self._objects[kind][name] = found
-        self._changes.append((self._revision, kind, found, False))
+        self._objects[kind][name] = stored
+        self._changes.append((self._revision, kind, stored, False))
         self._changed.notify_all()
         return self._revision
 
     def _remove(self, kind: str, name: str) -> None:
-        found = self._objects[kind].pop(name, None)
-        if found is None:
+        stored = self._objects[kind].pop(name, None)
+        if stored is None:
             return
         self._revision += 1
-        self._changes.append((self._revision, kind, found, True))
+        self._changes.append((self._revision, kind, stored, True))
         self._changed.notify_all()
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, with a journal of every call that it carried out."""
+"""Stand-in for a plain service, with a journal of all executed calls."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What the stand-in has been told to do.
+    """Behaviour and faults that are set for the stand-in.
 
     Attributes
     ----------
     work_seconds : float
         Time that each call takes, in seconds.
     cut : str or None
-        Cut the connection ``"before"`` carrying out a call, ``"after"`` it, or in the
+        Drop the connection ``"before"`` a call is executed, ``"after"`` it, or in the
         ``"middle"`` of its answer.
     cut_count : int
-        So many calls are cut.
+        Number of calls whose connections are dropped.
     silent : bool
-        Carry out calls and never answer.
+        Execute calls and never answer them.
     leaving : bool
-        Refuse calls with 503 before carrying them out.
+        Refuse calls with 503 without executing them.
     """
 
     work_seconds: float = 0.02
@@ -38,12 +38,12 @@
 
 
 class Service(web.StandIn):
-    """Echoes calls after some work, a few at once.
+    """Echoes calls after ``work_seconds``, at most ``slots`` of them concurrently.
 
     Attributes
     ----------
     journal : list of dict
-        Each call carried out, with the request that it came with.
+        Each executed call, with the id of its request.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._record_load()
 
     def control(self, **faults: object) -> None:
-        """Change the behaviour; the same fields as ``POST /_control``."""
+        """Change the behaviour; takes the same fields as ``POST /_control``."""
         if faults.pop("silence_open", False):
             self.silence_open_connections()
         self._load.lag_seconds = faults.pop("load_lag_seconds", self._load.lag_seconds)
@@ -73,7 +73,7 @@
         self._record_load()
 
     def handle(self, request: web.Request) -> web.Response:
-        """Answer one call."""
+        """Handle one request."""
         if request.path == "/_control":
             self.control(**request.read_json())
             return web.Response(HTTPStatus.NO_CONTENT)
@@ -85,19 +85,19 @@
             return web.make_json_response(
                 {"error": "leaving"}, HTTPStatus.SERVICE_UNAVAILABLE
             )
-        cut = self._take_cut()
+        cut = self._next_cut()
         if cut == "before":
             raise web.DropConnection
-        answer = self._carry_out(request)
+        answer = self._execute(request)
         if self.faults.silent:
             self.keep_silent(request)
         if cut == "after":
             raise web.DropConnection
         if cut == "middle":
-            answer.body = _cut_in_the_middle(answer.body)
+            answer.body = _truncate_body(answer.body)
         return answer
 
-    def _carry_out(self, request: web.Request) -> web.Response:
+    def _execute(self, request: web.Request) -> web.Response:
         with self._slots.acquire():
             self._record_load()
             call = {
@@ -112,12 +112,12 @@
             self.stopping.wait(self.faults.work_seconds)
             call["ended"] = time.time()
         self._record_load()
-        shown = {name: call[name] for name in ("request", "path", "method")}
+        echo = {name: call[name] for name in ("request", "path", "method")}
         return web.make_json_response(
-            shown | {"body": request.body.decode(errors="replace")}
+            echo | {"body": request.body.decode(errors="replace")}
         )
 
-    def _take_cut(self) -> str | None:
+    def _next_cut(self) -> str | None:
         with self._lock:
             if self.faults.cut is None or self.faults.cut_count <= 0:
                 return None
@@ -133,6 +133,6 @@
         )
 
 
-def _cut_in_the_middle(body: bytes) -> Iterator[bytes]:
+def _truncate_body(body: bytes) -> Iterator[bytes]:
     yield body[: len(body) // 2]
     raise web.DropConnection
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's object API and its VM list."""
+"""Stand-in for the platform's object API and VM list."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Entry:
-    """One key: its value now (None once deleted) and the one before."""
+    """Current value of a key, None once deleted, and the previous value."""
 
     version: int
     value: bytes | None
@@ -25,18 +25,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What the stand-in has been told to do wrong.
+    """Faults that are set for the stand-in.
 
     Attributes
     ----------
     down : bool
         Answer 503 to all calls of the object API.
     slow_seconds : float
-        Wait before each answer, in seconds.
+        Delay of each answer, in seconds.
     lose_answers : int
-        So many writes take effect and are not answered.
+        Number of writes that take effect and are not answered.
     stale_reads : int
-        So many reads are answered with the value before the last.
+        Number of reads that are answered with the previous value.
     """
 
     down: bool = False
@@ -46,12 +46,12 @@
 
 
 class Store(web.StandIn):
-    """Keys with versions, conditional writes and watches, held in memory.
+    """Versioned keys with conditional writes and watches, held in memory.
 
     Attributes
     ----------
     calls : Counter
-        Calls by kind: read, watch, write, list, vms.
+        Number of calls by kind: read, watch, write, list, vms.
     """
 
     def __init__(self, *, port: int = 0, host: str = "127.0.0.1") -> None:
@@ -64,18 +64,18 @@
         self._vm_lists: list[tuple[float, list[dict]]] = [(0.0, [])]
 
     def control(self, **faults: object) -> None:
-        """Change what goes wrong; the same fields as ``POST /_control``."""
+        """Change the faults; takes the same fields as ``POST /_control``."""
         with self._changed:
             self.faults = dataclasses.replace(self.faults, **faults)
             self._changed.notify_all()
 
     def set_vms(self, vms: list[dict], lag_seconds: float = 0.0) -> None:
-        """Publish another VM list after a lag in seconds."""
+        """Replace the VM list; readers see it after ``lag_seconds``."""
         with self._changed:
             self._vm_lists.append((time.monotonic() + lag_seconds, vms))
 
     def handle(self, request: web.Request) -> web.Response:
-        """Answer one call."""
+        """Handle one request."""
         if request.path == "/_control":
             self.control(**request.read_json())
             return web.Response(HTTPStatus.NO_CONTENT)
@@ -86,7 +86,7 @@
             return web.Response(HTTPStatus.NO_CONTENT)
         if request.path == "/vms":
             self.calls["vms"] += 1
-            return web.make_json_response({"vms": self._find_vms()})
+            return web.make_json_response({"vms": self._get_visible_vms()})
         return self._handle_object_call(request)
 
     def _handle_object_call(self, request: web.Request) -> web.Response:
@@ -95,7 +95,7 @@
             return web.make_json_response(
                 {"error": "no such path"}, HTTPStatus.NOT_FOUND
             )
-        self.calls[_name_call(request, kind)] += 1
+        self.calls[_classify_call(request, kind)] += 1
         if self.faults.slow_seconds:
             self.stopping.wait(self.faults.slow_seconds)
         if self.faults.down:
@@ -117,12 +117,12 @@
             if self.faults.stale_reads > 0:
                 self.faults.stale_reads -= 1
                 version, value = entry.previous
-        return _answer_value(version, value)
+        return _make_value_response(version, value)
 
     def _watch(self, key: str, query: dict[str, str]) -> web.Response:
         above = int(query["above"])
         wait = min(float(query.get("wait", "0")), WATCH_SECONDS_MAX)
-        ends = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         with self._changed:
             while not self.stopping.is_set():
                 if self.faults.down:
@@ -131,11 +131,11 @@
                     )
                 entry = self._entries.get(key)
                 if entry is not None and entry.version > above:
-                    return _answer_value(entry.version, entry.value)
-                left = ends - time.monotonic()
-                if left <= 0:
+                    return _make_value_response(entry.version, entry.value)
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
                     break
-                self._changed.wait(min(left, 1.0))
+                self._changed.wait(min(remaining, 1.0))
         return web.Response(HTTPStatus.NOT_MODIFIED)
 
     def _write(self, key: str, request: web.Request) -> web.Response:
@@ -145,12 +145,12 @@
             )
         with self._changed:
             response = self._write_locked(key, request)
-            done = response.status < HTTPStatus.MULTIPLE_CHOICES
-            lose = done and self.faults.lose_answers > 0
-            if lose:
+            succeeded = response.status < HTTPStatus.MULTIPLE_CHOICES
+            drop_answer = succeeded and self.faults.lose_answers > 0
+            if drop_answer:
                 self.faults.lose_answers -= 1
             self._changed.notify_all()
-        if lose:
+        if drop_answer:
             raise web.DropConnection
         return response
 
@@ -164,10 +164,10 @@
             )
         if request.method == "DELETE" and entry.value is None:
             return web.Response(HTTPStatus.NOT_FOUND)
-        fits = entry.value is None if create else expected == str(entry.version)
-        if not fits or (not create and entry.value is None):
+        matches = entry.value is None if create else expected == str(entry.version)
+        if not matches or (not create and entry.value is None):
             return web.Response(
-                HTTPStatus.PRECONDITION_FAILED, headers=_tag(entry.version)
+                HTTPStatus.PRECONDITION_FAILED, headers=_make_etag(entry.version)
             )
         value = None if request.method == "DELETE" else request.body
         self._version += 1
@@ -176,7 +176,7 @@
         if value is None:
             return web.Response(HTTPStatus.NO_CONTENT)
         status = HTTPStatus.CREATED if create else HTTPStatus.OK
-        return web.Response(status, headers=_tag(self._version))
+        return web.Response(status, headers=_make_etag(self._version))
 
     def _list(self, prefix: str) -> web.Response:
         with self._changed:
@@ -187,13 +187,13 @@
             ]
         return web.make_json_response({"keys": keys})
 
-    def _find_vms(self) -> list[dict]:
+    def _get_visible_vms(self) -> list[dict]:
         now = time.monotonic()
         with self._changed:
-            return [vms for visible, vms in self._vm_lists if visible <= now][-1]
+            return [vms for visible_at, vms in self._vm_lists if visible_at <= now][-1]
 
 
-def _name_call(request: web.Request, kind: str) -> str:
+def _classify_call(request: web.Request, kind: str) -> str:
     if kind == "list":
         return "list"
     if request.method != "GET":
@@ -201,12 +201,12 @@
     return "watch" if "above" in request.query else "read"
 
 
-def _tag(version: int) -> dict[str, str]:
+def _make_etag(version: int) -> dict[str, str]:
     return {"ETag": f'"{version}"'}
 
 
-def _answer_value(version: int, value: bytes | None) -> web.Response:
+def _make_value_response(version: int, value: bytes | None) -> web.Response:
     if value is None:
         return web.make_json_response({"error": "no such key"}, HTTPStatus.NOT_FOUND)
-    headers = _tag(version) | {"Content-Type": "application/octet-stream"}
+    headers = _make_etag(version) | {"Content-Type": "application/octet-stream"}
     return web.Response(HTTPStatus.OK, value, headers)
--- a/tests/platform/test_objects.py
+++ b/tests/platform/test_objects.py
@@ -32,7 +32,7 @@
 
 
 def test_list_is_read_page_by_page(store, client) -> None:
-    store.page = 2
+    store.page_size = 2
     for number in range(5):
         store.put("servers", f"s{number}", {"number": number})
     listing = client.list_objects("servers")
@@ -111,7 +111,7 @@
 
     If the list ended there, every router would lose all servers after it.
     """
-    store.page = 2
+    store.page_size = 2
     for number in range(4):
         store.put("servers", f"s{number}", {"number": number})
     store._objects["servers"]["s1"] = malformed
@@ -127,7 +127,7 @@
 
 def test_page_without_a_readable_object_is_an_error(store, client) -> None:
     """Treating the page as the end of the list would lose all servers after it."""
-    store.page = 1
+    store.page_size = 1
     for number in range(3):
         store.put("servers", f"s{number}", {})
     store._objects["servers"]["s1"] = {}
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-def running_engine() -> Iterator[engine.Engine]:
+def server() -> Iterator[engine.Engine]:
     standin = engine.Engine(token_seconds=0.001, slots=2)
     standin.start()
     yield standin
@@ -51,71 +51,67 @@
     return [token for line in lines for token in line.get("tokens", [])]
 
 
-def test_streams_every_token_of_the_prompt(running_engine: engine.Engine) -> None:
-    lines = read_lines(generate(running_engine))
+def test_streams_every_token_of_the_prompt(server: engine.Engine) -> None:
+    lines = read_lines(generate(server))
     digest = batch.digest_prompt(MESSAGES)
     assert join_tokens(lines) == [f"{digest}.{index} " for index in range(20)]
     assert lines[-1]["done"] and lines[-1]["finish_reason"] == "length"
 
 
 def test_repeated_prompt_hits_the_cache_and_events_are_listed(
-    running_engine: engine.Engine,
+    server: engine.Engine,
 ) -> None:
-    generate(running_engine, "r1")
-    lines = read_lines(generate(running_engine, "r2"))
+    generate(server, "r1")
+    lines = read_lines(generate(server, "r2"))
     assert lines[-1]["cached_tokens"] == 32
-    listed = call(running_engine, "GET", "/cache-events?after=0").json()
+    listed = call(server, "GET", "/cache-events?after=0").json()
     assert [event["kind"] for event in listed["events"]] == ["stored", "stored"]
-    running_engine.control(gap_every=2)
-    listed = call(running_engine, "GET", "/cache-events?after=0").json()
+    server.control(gap_every=2)
+    listed = call(server, "GET", "/cache-events?after=0").json()
     assert len(listed["events"]) == 1 and listed["last"] == 2
 
 
 def test_interrupted_stream_resumes_without_a_second_run(
-    running_engine: engine.Engine,
+    server: engine.Engine,
 ) -> None:
-    running_engine.control(cut_after_tokens=5)
+    server.control(cut_after_tokens=5)
     with pytest.raises(urllib3.exceptions.HTTPError):
-        generate(running_engine)
-    lines = read_lines(call(running_engine, "GET", "/generate/r1?offset=5"))
+        generate(server)
+    lines = read_lines(call(server, "GET", "/generate/r1?offset=5"))
     assert len(join_tokens(lines)) == 15 and lines[-1]["done"]
-    assert len(running_engine.read_journal()["runs"]) == 1
+    assert len(server.read_journal()["runs"]) == 1
 
 
-def test_cancel_ends_the_run(running_engine: engine.Engine) -> None:
-    running_engine.control(token_seconds=0.05)
-    run = running_engine.batch.add("r1", MESSAGES, 1000)
-    assert call(running_engine, "DELETE", "/generate/r1").status == 204
+def test_cancel_ends_the_run(server: engine.Engine) -> None:
+    server.control(token_seconds=0.05)
+    run = server.batch.add("r1", MESSAGES, 1000)
+    assert call(server, "DELETE", "/generate/r1").status == 204
     assert run.state is batch.RunState.CANCELLED
-    assert call(running_engine, "DELETE", "/generate/r9").status == 404
+    assert call(server, "DELETE", "/generate/r9").status == 404
 
 
-def test_leaving_refuses_before_running(running_engine: engine.Engine) -> None:
-    running_engine.control(leaving=True)
-    answer = generate(running_engine)
+def test_leaving_refuses_before_running(server: engine.Engine) -> None:
+    server.control(leaving=True)
+    answer = generate(server)
     assert (answer.status, answer.json()) == (503, {"error": "leaving"})
-    assert running_engine.read_journal()["runs"] == []
-    assert call(running_engine, "GET", "/load").json()["leaving"]
+    assert server.read_journal()["runs"] == []
+    assert call(server, "GET", "/load").json()["leaving"]
 
 
 def test_outdated_fence_is_rejected_only_if_checked(
-    running_engine: engine.Engine,
+    server: engine.Engine,
 ) -> None:
     order = {"kind": "load", "model": "m2", "adapters": [], "version": "1"}
     for checks, expected in ((False, 202), (True, 409)):
-        running_engine.checks_fence = checks
-        assert call(running_engine, "POST", "/orders", fence=7, **order).status == 202
-        assert (
-            call(running_engine, "POST", "/orders", fence=6, **order).status == expected
-        )
-    assert call(running_engine, "GET", "/state").json()["fence"] == 7
+        server.checks_fence = checks
+        assert call(server, "POST", "/orders", fence=7, **order).status == 202
+        assert call(server, "POST", "/orders", fence=6, **order).status == expected
+    assert call(server, "GET", "/state").json()["fence"] == 7
 
 
-def test_queued_runs_finish_once_slots_are_free(running_engine: engine.Engine) -> None:
-    running_engine.control(token_seconds=0.0)
-    runs = [running_engine.batch.add(f"r{index}", MESSAGES, 3) for index in range(5)]
+def test_queued_runs_finish_once_slots_are_free(server: engine.Engine) -> None:
+    server.control(token_seconds=0.0)
+    runs = [server.batch.add(f"r{index}", MESSAGES, 3) for index in range(5)]
     for run in runs:
-        assert [
-            token for _, part in running_engine.batch.read(run, 0) for token in part
-        ]
+        assert [token for _, part in server.batch.read(run, 0) for token in part]
     assert all(run.state is batch.RunState.DONE for run in runs)
--- a/tests/standins/test_service.py
+++ b/tests/standins/test_service.py
@@ -1,4 +1,4 @@
-"""The plain service's stand-in, over its protocol."""
+"""Tests of the plain service's stand-in over HTTP."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.fixture
-def serving() -> Iterator[service.Service]:
+def server() -> Iterator[service.Service]:
     standin = service.Service(work_seconds=0.0)
     standin.start()
     yield standin
@@ -31,42 +31,42 @@
     )
 
 
-def test_echoes_and_keeps_a_journal(serving: service.Service) -> None:
-    assert call(serving).json() == {
+def test_echoes_and_records_calls(server: service.Service) -> None:
+    assert call(server).json() == {
         "request": "r1",
         "path": "/tow",
         "method": "POST",
         "body": "gate 7",
     }
-    calls = call(serving, "GET", "/_journal").json()["calls"]
+    calls = call(server, "GET", "/_journal").json()["calls"]
     assert [(item["request"], item["path"]) for item in calls] == [("r1", "/tow")]
 
 
 @pytest.mark.parametrize(
-    ("cut", "carried_out"), [("before", 0), ("after", 1), ("middle", 1)]
+    ("cut", "executed"), [("before", 0), ("after", 1), ("middle", 1)]
 )
-def test_cut_connections(serving: service.Service, cut: str, carried_out: int) -> None:
-    serving.control(cut=cut, cut_count=1)
+def test_dropped_connections(server: service.Service, cut: str, executed: int) -> None:
+    server.control(cut=cut, cut_count=1)
     with pytest.raises(urllib3.exceptions.HTTPError):
-        call(serving)
-    assert len(serving.journal) == carried_out
-    assert call(serving).status == 200
+        call(server)
+    assert len(server.journal) == executed
+    assert call(server).status == 200
 
 
-def test_leaving_refuses_and_does_not_carry_out(serving: service.Service) -> None:
-    serving.control(leaving=True)
-    answer = call(serving)
+def test_leaving_refuses_without_executing(server: service.Service) -> None:
+    server.control(leaving=True)
+    answer = call(server)
     assert (answer.status, answer.json()) == (503, {"error": "leaving"})
-    assert serving.journal == []
+    assert server.journal == []
 
 
-def test_open_connections_go_silent_while_new_ones_work(
-    serving: service.Service,
+def test_only_open_connections_go_silent(
+    server: service.Service,
 ) -> None:
-    pool = urllib3.HTTPConnectionPool(*serving.address, maxsize=1, timeout=0.2)
+    pool = urllib3.HTTPConnectionPool(*server.address, maxsize=1, timeout=0.2)
     assert pool.request("GET", "/load").status == 200
-    serving.control(silence_open=True)
+    server.control(silence_open=True)
     with pytest.raises(urllib3.exceptions.ReadTimeoutError):
         pool.request("POST", "/tow", retries=False)
-    assert serving.journal == []
-    assert call(serving).status == 200
+    assert server.journal == []
+    assert call(server).status == 200
