--- a/bench/soak.py
+++ b/bench/soak.py
@@ -107,7 +107,7 @@
         """Start an incarnation of a backend server."""
         server = platformserver.PlatformServer(name, streams=service == "planner")
         server.event_seconds = 0.02
-        server.fatal = soakfatal.BODIES
+        server.fatal_bodies = soakfatal.BODIES
         server.start()
         self.born[name] = time.time_ns() // 1_000_000
         return server
--- a/bench/soakfatal.py
+++ b/bench/soakfatal.py
@@ -141,8 +141,8 @@
         return 0
     late_from = crashes[2] + WINDOW_SECONDS
     return sum(
-        seen.at > late_from
+        request.at > late_from
         for server in found
-        for seen in list(server.seen)
-        if seen.body == body
+        for request in list(server.received)
+        if request.body == body
     )
--- a/bench/soakparts.py
+++ b/bench/soakparts.py
@@ -70,7 +70,7 @@
         for sock in list(self._open):
             with contextlib.suppress(OSError):
                 sock.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, platformserver.RESET
+                    socket.SOL_SOCKET, socket.SO_LINGER, platformserver.RESET_LINGER
                 )
                 sock.shutdown(socket.SHUT_RDWR)
 
@@ -349,7 +349,7 @@
         return f"belongs to {named}"
     if answer.status != 200:
         return ""
-    if not answer.getheader(platformserver.SIGNATURE):
+    if not answer.getheader(platformserver.SERVER_STAMP):
         return "a success without signature"
     if path.startswith(("/calls/", "/bookings/")):
         return "" if body == platformserver.BODY else f"body {body!r}"
--- a/standins/crashing.py
+++ b/standins/crashing.py
@@ -1,7 +1,7 @@
-"""Stand-in for the servers of one service that crash and come back.
+"""Stand-in for the servers of a service that crash and are restarted.
 
-A crashed server's entry lapses a while later, and another incarnation with an id of its
-own listens at the same address after that, as the platform starts it.
+As on the platform, the entry of a crashed server is removed after a delay; later
+another incarnation with a new id listens at the same address.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 
 
 class CrashingServers:
-    """Servers of one service, started again whenever they crash.
+    """Servers of a service that are restarted whenever they crash.
 
     Attributes
     ----------
     servers : list of PlatformServer
-        Those that are there now, also between a crash and the next start.
+        The latest incarnation of each server, which may have crashed.
     incarnations : list of PlatformServer
-        All that ever were.
+        All incarnations so far, in order of their start.
     crashes : list of (float, ServerId)
-        When servers crashed, on the monotonic clock.
+        Monotonic time and id of each crashed server.
 
     Parameters
     ----------
-    fatal : set of bytes
-        Bodies of requests that crash each server.
-    lapse_seconds, return_seconds : float
-        From a crash to the end of the entry, and to the next incarnation.
+    fatal_bodies : set of bytes
+        Bodies of requests that crash any server.
+    expiry_seconds, restart_seconds : float
+        Delays from a crash to the removal of the entry and to the next start.
     """
 
     def __init__(
@@ -41,67 +41,69 @@
         store: objects.ObjectStore,
         service: str,
         count: int,
-        fatal: set[bytes],
+        fatal_bodies: set[bytes],
         *,
-        lapse_seconds: float = 0.3,
-        return_seconds: float = 0.5,
+        expiry_seconds: float = 0.3,
+        restart_seconds: float = 0.5,
     ) -> None:
         self._store = store
         self._service = service
-        self._fatal = fatal
-        self._lapse_seconds = lapse_seconds
-        self._return_seconds = return_seconds
-        self._names = itertools.count(1)
+        self._fatal_bodies = fatal_bodies
+        self._expiry_seconds = expiry_seconds
+        self._restart_seconds = restart_seconds
+        self._numbers = itertools.count(1)
         self._stopped = threading.Event()
         self.incarnations: list[platformserver.PlatformServer] = []
         self.crashes: list[tuple[float, ids.ServerId]] = []
         self.servers = [self._start() for _ in range(count)]
-        self._tasks = [
-            threading.Thread(target=self._keep, args=(index,), daemon=True)
+        self._threads = [
+            threading.Thread(
+                target=self._restart_after_crashes, args=(index,), daemon=True
+            )
             for index in range(count)
         ]
-        for task in self._tasks:
-            task.start()
+        for thread in self._threads:
+            thread.start()
 
     def stop(self) -> None:
         """Stop all servers."""
         self._stopped.set()
-        for task in self._tasks:
-            task.join()
+        for thread in self._threads:
+            thread.join()
         for server in self.servers:
             server.stop()
 
-    def list_seen(self, body: bytes) -> list[platformserver.Seen]:
-        """Return what arrived with a body, at any incarnation, in order."""
-        found = [
-            seen
+    def list_received(self, body: bytes) -> list[platformserver.ReceivedRequest]:
+        """Return the requests with a body that any incarnation received, by time."""
+        received = [
+            request
             for server in self.incarnations
-            for seen in list(server.seen)
-            if seen.body == body
+            for request in list(server.received)
+            if request.body == body
         ]
-        return sorted(found, key=lambda seen: seen.at)
+        return sorted(received, key=lambda request: request.at)
 
     def _start(self, port: int = 0) -> platformserver.PlatformServer:
-        name = f"{self._service}-{next(self._names)}"
+        name = f"{self._service}-{next(self._numbers)}"
         server = platformserver.PlatformServer(
             name, streams=self._service == "planner", port=port
         )
-        server.fatal = self._fatal
+        server.fatal_bodies = self._fatal_bodies
         server.start()
         self.incarnations.append(server)
         spec = desk.make_entry(self._service, server.address)
         self._store.put("servers", name, spec)
         return server
 
-    def _keep(self, index: int) -> None:
-        """Start one server again after each crash."""
+    def _restart_after_crashes(self, index: int) -> None:
+        """Restart a server after each crash."""
         while not self._stopped.is_set():
             server = self.servers[index]
             if not server.crashed.wait(POLL_SECONDS):
                 continue
             self.crashes.append((time.monotonic(), ids.ServerId(server.name)))
-            self._stopped.wait(self._lapse_seconds)
+            self._stopped.wait(self._expiry_seconds)
             self._store.remove("servers", server.name)
-            self._stopped.wait(self._return_seconds - self._lapse_seconds)
+            self._stopped.wait(self._restart_seconds - self._expiry_seconds)
             if not self._stopped.is_set():
                 self.servers[index] = self._start(server.address.port)
--- a/tests/gateway/test_carrier.py
+++ b/tests/gateway/test_carrier.py
@@ -52,7 +52,7 @@
     answer = router.call("/calls/1", method="GET", body=None)
     # Each server fails its first request, so that the second attempt fails, too.
     assert answer.status in (500, 502, 503)
-    assert len(servers[0].seen) == len(servers[1].seen) == 1
+    assert len(servers[0].received) == len(servers[1].received) == 1
     answer = router.call("/calls/1", "r2", method="GET", body=None)
     assert (answer.status, answer.text) == (200, b"served")
 
@@ -116,9 +116,9 @@
     answer = router.call("/bookings/1")
     assert answer.status == 503
     assert server.ran == []
-    seen = len(server.seen)
+    received = len(server.received)
     assert router.call("/bookings/2", "r2").status == 503
-    assert len(server.seen) == seen
+    assert len(server.received) == received
 
 
 def test_server_that_accepts_no_connection_is_skipped(place) -> None:
@@ -142,7 +142,7 @@
     router = place.start_router()
     first.script.append("cut_stream")
     answer = router.call("/drafts/1")
-    assert second.seen[0].headers["last-event-id"] == "2"
+    assert second.received[0].headers["last-event-id"] == "2"
     assert answer.status == 200
     numbers = [line for line in answer.text.split(b"\n") if line.startswith(b"id:")]
     assert numbers == [b"id: %d" % number for number in range(1, 7)]
@@ -187,7 +187,7 @@
     caller.request("POST", "/bookings/1", body=b"", headers=headers)
     support.wait_for(lambda: server.ran)
     caller.close()
-    support.wait_for(server.left_early.is_set)
+    support.wait_for(server.client_disconnected.is_set)
     places = router.box.find("places")
     support.wait_for(lambda: places.report()["held"] == 0)
 
@@ -219,7 +219,7 @@
     left.set()
     support.wait_for(lambda: front.count_in_progress() == 0)
     assert places.report()["held"] == 0
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_request_whose_deadline_passes_while_connecting_is_not_sent(place) -> None:
@@ -240,7 +240,7 @@
     answer = router.call("/bookings/1", headers={"Celeryspan-Deadline-Ms": "200"})
     assert answer.status == 503
     assert answer.getheader("Retry-After")
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_caller_gets_an_answer_at_its_deadline(place) -> None:
@@ -267,7 +267,7 @@
         target=lambda: answers.append(router.call("/drafts/1", headers=headers))
     )
     request_thread.start()
-    support.wait_for(lambda: first.seen)
+    support.wait_for(lambda: first.received)
     second = place.add_server("gpu-2", "planner", born=1_500)
     support.wait_for(lambda: "gpu-2" in router.box.find("servers").usable())
     place.enter(first, "planner", born=2_000)
@@ -292,7 +292,7 @@
         target=lambda: answers.append(router.call("/drafts/1", headers=headers))
     )
     request_thread.start()
-    support.wait_for(lambda: first.seen)
+    support.wait_for(lambda: first.received)
     place.store.remove("servers", "gpu-1")
     support.wait_for(lambda: "gpu-1" not in usable())
     second = place.add_server("gpu-2", "planner", born=1_500)
@@ -337,7 +337,9 @@
     assert support.ask(first, "/notes/1", "r1").status == 200
     # The connection returns to the pool after the answer was read. The router lists the
     # engine's cached prompt parts on a separate connection.
-    support.wait_for(lambda: router.box.find("channels")._idle_by_age and server.lists)
+    support.wait_for(
+        lambda: router.box.find("channels")._idle_by_age and server.list_calls
+    )
     connections = server.connections
     server.event_seconds = 0.2
     connection = router.connect()
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -79,7 +79,7 @@
     """Return how many copies reached servers once the third crash was known."""
     assert len(servers.crashes) >= RETRIES_MAX, "fewer crashes than the test is about"
     known_at = sorted(at for at, _ in servers.crashes)[2] + NEWS_SECONDS
-    return sum(seen.at > known_at for seen in servers.list_seen(FATAL))
+    return sum(request.at > known_at for request in servers.list_received(FATAL))
 
 
 @pick(PATHS)
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -21,13 +21,13 @@
     assert (answer.status, answer.text) == (200, b"served")
     assert answer.getheader("Celeryspan-Server-Stamp") == "gate-1.1"
     assert answer.getheader("Celeryspan-Request-Id") == "r1"
-    (seen,) = server.seen
-    assert (seen.method, seen.target) == ("POST", "/bookings/7?stand=12")
-    assert seen.body == b"asked"
-    assert seen.headers["x-note"] == "urgent"
-    assert seen.headers["celeryspan-tenant"] == support.ACCOUNT
-    assert seen.headers["celeryspan-expect-instance"] == "gate-1"
-    assert 0 < int(seen.headers["celeryspan-deadline-ms"]) <= 2000
+    (request,) = server.received
+    assert (request.method, request.target) == ("POST", "/bookings/7?stand=12")
+    assert request.body == b"asked"
+    assert request.headers["x-note"] == "urgent"
+    assert request.headers["celeryspan-tenant"] == support.ACCOUNT
+    assert request.headers["celeryspan-expect-instance"] == "gate-1"
+    assert 0 < int(request.headers["celeryspan-deadline-ms"]) <= 2000
 
 
 def test_time_waiting_for_a_thread_counts_towards_the_deadline(place) -> None:
@@ -48,7 +48,7 @@
     front.serve = serve_late
     answer = router.call("/bookings/7", headers={"Celeryspan-Deadline-Ms": "200"})
     assert answer.status == 503
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_internal_headers_of_callers_are_not_forwarded(place) -> None:
@@ -70,13 +70,13 @@
         "Keep-Alive": "timeout=9",
     }
     assert router.call("/bookings/1", headers=forged).status == 200
-    (seen,) = server.seen
-    assert seen.headers["celeryspan-tenant"] == support.ACCOUNT
-    assert seen.headers["celeryspan-expect-instance"] == "gate-1"
+    (request,) = server.received
+    assert request.headers["celeryspan-tenant"] == support.ACCOUNT
+    assert request.headers["celeryspan-expect-instance"] == "gate-1"
     for name in ("kv-hold", "pin-ms", "kv-backup"):
-        assert f"celeryspan-{name}" not in seen.headers
-    assert not {"kv-from", "kv-fetch", "keep-alive"} & seen.headers.keys()
-    assert support.KEY not in seen.headers.values()
+        assert f"celeryspan-{name}" not in request.headers
+    assert not {"kv-from", "kv-fetch", "keep-alive"} & request.headers.keys()
+    assert support.KEY not in request.headers.values()
 
 
 def test_unknown_route_and_key_are_refused_without_a_server(place) -> None:
@@ -86,7 +86,7 @@
     assert router.call("/bookings").status == 404
     assert router.call("/bookings/1", key="guessed").status == 401
     assert router.call("/bookings/1", key="").status == 401
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_anonymous_route_needs_no_key_and_ignores_a_wrong_one(place) -> None:
@@ -97,7 +97,7 @@
     router = place.start_router()
     assert router.call("/calls/1", key="").status == 200
     assert router.call("/calls/1", key="guessed").status == 200
-    assert "celeryspan-tenant" not in server.seen[0].headers
+    assert "celeryspan-tenant" not in server.received[0].headers
 
 
 def test_router_without_configuration_refuses_with_a_retry_time() -> None:
@@ -120,7 +120,7 @@
     router = place.start_router()
     answer = router.call("/bookings/1", body=iter([b"one ", b"two"]))
     assert answer.status == 200
-    assert server.seen[0].body == b"one two"
+    assert server.received[0].body == b"one two"
 
 
 def test_incomplete_body_reaches_no_server(place) -> None:
@@ -135,7 +135,7 @@
         head = f"POST /bookings/1 HTTP/1.1\r\nHost: {support.HOST}\r\n"
         caller.sendall(f"{head}Content-Length: 10\r\n\r\nabc".encode())
     assert router.call("/bookings/2", "r2").status == 200
-    assert [seen.request for seen in server.seen] == ["r2"]
+    assert [request.request_id for request in server.received] == ["r2"]
 
 
 @pytest.mark.parametrize(
@@ -159,7 +159,7 @@
         head = f"POST /bookings/1 HTTP/1.1\r\nHost: {support.HOST}\r\n{framing}\r\n"
         caller.sendall(head.encode() + b"0\r\n\r\nGET /calls/1 HTTP/1.1\r\n\r\n")
         assert caller.recv(64).startswith(b"HTTP/1.1 400 ")
-    assert server.seen == []
+    assert server.received == []
 
 
 def resolve(router: support.Router) -> set[str]:
--- a/tests/gateway/test_keptparts.py
+++ b/tests/gateway/test_keptparts.py
@@ -28,7 +28,7 @@
     headers["Celeryspan-Prefix-Hash"] = "aa:500,bb:300,cc:100"
     assert router.call("/drafts/1", "r1", headers=headers).status == 200
     assert engines[1].ran[-1:] == ["r1"]
-    assert [engine.lists for engine in engines] == [1, 1, 1]
+    assert [engine.list_calls for engine in engines] == [1, 1, 1]
 
 
 def test_engine_that_does_not_say_what_it_keeps_is_used_all_the_same(place) -> None:
@@ -36,5 +36,5 @@
     engine.kept = {"aa": "many"}
     router = place.start_router()
     assert router.call("/drafts/1").status == 200
-    support.wait_for(lambda: engine.lists)
+    support.wait_for(lambda: engine.list_calls)
     assert find_cache(router, "gpu-1")._parts == {}
--- a/tests/gateway/test_migrations.py
+++ b/tests/gateway/test_migrations.py
@@ -77,7 +77,9 @@
     stream.request_migration()
     assert stream.finish() == WHOLE
     assert stream.target.resumed == ["r1"]
-    (resumed,) = [seen for seen in stream.target.seen if seen.request == "r1"]
+    (resumed,) = [
+        request for request in stream.target.received if request.request_id == "r1"
+    ]
     assert resumed.headers["kv-from"] == f"{stream.source.address}/copy-r1"
     assert int(resumed.headers["last-event-id"]) >= 1
     assert len(stream.source.ran) == 1
@@ -99,11 +101,11 @@
 
 def test_source_resumes_a_run_whose_copy_failed(stream: MigratingStream) -> None:
     """The source stops the run but cannot reach the target: 503 with a handle."""
-    stream.source.move_answer = 503
+    stream.source.move_status = 503
     stream.request_migration()
     assert stream.finish() == WHOLE
     assert stream.source.resumed == ["r1"]
-    assert stream.target.seen == []
+    assert stream.target.received == []
 
 
 @pytest.mark.parametrize("answer", [404, 0])
@@ -111,7 +113,7 @@
     stream: MigratingStream, answer: int
 ) -> None:
     """The migration request to the engine is refused, or its connection is reset."""
-    stream.source.move_answer = answer
+    stream.source.move_status = answer
     stream.request_migration()
     assert stream.finish() == WHOLE
     assert stream.source.resumed == stream.target.resumed == []
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -80,7 +80,7 @@
     answer = router.call("/bookings/1", "r9")
     check_refusal(answer, "r9")
     assert json.loads(answer.text)["error"]["code"] == "router-full"
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_early_refusal_closes_the_connection(full_router) -> None:
@@ -96,7 +96,7 @@
         error = json.loads(answer.read())["error"]
         assert (error["code"], error["outcome"]) == ("router-full", "not-run")
         assert caller.recv(1) == b""
-    assert server.seen == []
+    assert server.received == []
 
 
 def check_refusal(answer: http.client.HTTPResponse, request: str) -> None:
@@ -114,7 +114,7 @@
         threading.Event().wait(0.05)
         caller.sendall(WHOLE[-1:])
         assert caller.recv(65_536).startswith(b"HTTP/1.1 503 ")
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_caller_that_reads_late_receives_its_refusal(full_router) -> None:
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -45,7 +45,7 @@
     answer = router.call("/notes/1")
     assert answer.status == 503
     assert json.loads(answer.text)["error"]["code"] == "stopping"
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_refusals_begin_before_the_last_caller_has_learnt_of_the_stop() -> None:
