--- a/celeryspan/daemons/demo.py
+++ b/celeryspan/daemons/demo.py
@@ -39,13 +39,13 @@
 )
 
 LOADS = [
-    callers.Load("airline-modra", FLOOD_CALLERS),
-    callers.Load("airline-severni", 6),
-    callers.Load("handler-kolo", 6),
-    callers.Load("night-planning", 2, pause_seconds=1.0),
-    callers.Load("ruzyne-gate-desk", 8),
-    callers.Load("ruzyne-gate-desk", 2, 0.1, fleet.GATE),
-    callers.Load("ruzyne-tugs", 2, 0.1, fleet.GATE),
+    callers.Workload("airline-modra", FLOOD_CALLERS),
+    callers.Workload("airline-severni", 6),
+    callers.Workload("handler-kolo", 6),
+    callers.Workload("night-planning", 2, pause_seconds=1.0),
+    callers.Workload("ruzyne-gate-desk", 8),
+    callers.Workload("ruzyne-gate-desk", 2, 0.1, fleet.GATE),
+    callers.Workload("ruzyne-tugs", 2, 0.1, fleet.GATE),
 ]
 
 TABLE_WIDTH = 100
@@ -62,10 +62,10 @@
     "service received",
 )
 
-SHOWN_ENDINGS = (
-    callers.Ending.ANSWERED,
-    callers.Ending.NOT_RUN,
-    callers.Ending.UNKNOWN,
+SHOWN_OUTCOMES = (
+    callers.Outcome.ANSWERED,
+    callers.Outcome.NOT_RUN,
+    callers.Outcome.UNKNOWN,
 )
 
 
@@ -88,14 +88,14 @@
 
     Attributes
     ----------
-    asks : list of Ask
+    asks : list of CallerRequest
         Every request of the callers.
     calls : list of dict
         Every call that the gate desk has carried out.
     """
 
     def __init__(self, console: rich.console.Console) -> None:
-        self.asks: list[callers.Ask] = []
+        self.asks: list[callers.CallerRequest] = []
         self.calls: list[dict] = []
         self._console = console
         self._began = time.monotonic()
@@ -115,13 +115,13 @@
 
     def judge(self) -> Verdict:
         """Count what the callers got and what the journals hold."""
-        endings = collections.Counter(ask.ending for ask in self.asks)
+        outcomes = collections.Counter(ask.outcome for ask in self.asks)
         return Verdict(
             asked=len(self.asks),
-            answered=endings[callers.Ending.ANSWERED],
-            not_run=endings[callers.Ending.NOT_RUN],
-            unknown=endings[callers.Ending.UNKNOWN],
-            incomplete=endings[callers.Ending.INCOMPLETE],
+            answered=outcomes[callers.Outcome.ANSWERED],
+            not_run=outcomes[callers.Outcome.NOT_RUN],
+            unknown=outcomes[callers.Outcome.UNKNOWN],
+            incomplete=outcomes[callers.Outcome.INCOMPLETE],
             ran_twice=count_ran_twice(self.calls),
             gap=round(self._sampler.gap.greatest, 1),
             utilisation=round(self._sampler.utilisation, 3),
@@ -131,7 +131,7 @@
     def _send(self, seconds: float) -> None:
         asking = callers.Callers(LOADS, self._fleet.addresses)
         self._sampler = fairness.Sampler(asking, self._fleet.engines, PLAN.weights)
-        self.asks = asking.asks
+        self.asks = asking.requests
         asking.start()
         self._sampler.start()
         self._show_progress(seconds)
@@ -144,8 +144,8 @@
         with live:
             while (passed := time.monotonic() - began) < seconds:
                 seen = list(self.asks)
-                ended = sum(bool(ask.ended) for ask in seen)
-                waiting = sum(ask.waits for ask in seen)
+                ended = sum(bool(ask.ended_at) for ask in seen)
+                waiting = sum(ask.is_waiting for ask in seen)
                 text = f"asked {len(seen)}  ended {ended}  waiting {waiting}"
                 live.update(f"{passed:4.1f} s  {text}", refresh=True)
                 time.sleep(REFRESH_SECONDS)
@@ -188,15 +188,15 @@
     return registry.Exit.FAILED if faults else registry.Exit.DONE
 
 
-def list_faults(asks: list[callers.Ask], calls: list[dict]) -> list[str]:
+def list_faults(asks: list[callers.CallerRequest], calls: list[dict]) -> list[str]:
     """Return one line for each promise that was broken."""
     carried_out = {call["path"].rsplit("/", 1)[-1] for call in calls}
     lines = []
     for ask in asks:
-        if ask.ending is callers.Ending.INCOMPLETE:
-            lines.append(f"incomplete: {ask.account} {ask.mark}: {ask.note}")
-        if ask.ending is callers.Ending.NOT_RUN and ask.mark in carried_out:
-            lines.append(f"told not-run, but carried out: {ask.account} {ask.mark}")
+        if ask.outcome is callers.Outcome.INCOMPLETE:
+            lines.append(f"incomplete: {ask.account} {ask.marker}: {ask.note}")
+        if ask.outcome is callers.Outcome.NOT_RUN and ask.marker in carried_out:
+            lines.append(f"told not-run, but carried out: {ask.account} {ask.marker}")
     ran_twice = count_ran_twice(calls)
     if ran_twice:
         lines.append(f"carried out more than once: {ran_twice} clearances")
@@ -209,19 +209,21 @@
     return sum(count > 1 for count in paths.values())
 
 
-def make_table(asks: list[callers.Ask]) -> rich.table.Table:
+def make_table(asks: list[callers.CallerRequest]) -> rich.table.Table:
     """Return a table with one line for each client account."""
     table = rich.table.Table(box=None)
     for column in COLUMNS:
         table.add_column(column, justify="left" if not table.columns else "right")
     for account in sorted({ask.account for ask in asks}):
         own = [ask for ask in asks if ask.account == account]
-        endings = collections.Counter(ask.ending for ask in own)
-        waits = sorted(ask.first - ask.began for ask in own if ask.first)
+        outcomes = collections.Counter(ask.outcome for ask in own)
+        waits = sorted(
+            ask.first_byte_at - ask.sent_at for ask in own if ask.first_byte_at
+        )
         table.add_row(
             account,
             str(len(own)),
-            *(str(endings[ending]) for ending in SHOWN_ENDINGS),
+            *(str(outcomes[outcome]) for outcome in SHOWN_OUTCOMES),
             f"{statistics.median(waits):.2f}" if waits else "-",
             f"{waits[int(len(waits) * 0.99)]:.2f}" if waits else "-",
             f"{sum(ask.units for ask in own):.0f}",
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers of client accounts: they send requests and check each answer."""
+"""Load generator: callers of client accounts that check each response."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from celeryspan import ids, states
 from standins import batch, fleet
 
-ANSWER_SECONDS = 60.0
-"""A caller gives a router up after so long without a byte."""
+READ_TIMEOUT_SECONDS = 60.0
+"""Time without data after which a caller abandons its request."""
 
-PAUSE_SECONDS = 0.05
-"""Pause of a caller after a refusal that names no time."""
+DEFAULT_RETRY_SECONDS = 0.05
+"""Pause after a refusal without a ``Retry-After`` header."""
 
 RETRY_SECONDS_MAX = 2.0
-"""The demo is short, so its callers wait no longer than this after a refusal."""
+"""Maximum pause after a refusal; short, because the demo is short."""
 
 
-class Ending(enum.Enum):
-    """What a caller got."""
+class Outcome(enum.Enum):
+    """Result of a request as its caller sees it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -36,47 +36,48 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Ask:
-    """One request of one caller.
+class CallerRequest:
+    """A request of a caller.
 
     Attributes
     ----------
-    mark : str
-        Unique text in the request, by which journals are searched.
-    began, first, ended : float
-        Monotonic times of sending, first byte of the answer and end; 0 for not yet.
+    marker : str
+        Unique text in the request, which identifies it in the journals.
+    sent_at, first_byte_at, ended_at : float
+        Monotonic times of sending, of the first content of the response and of
+        its end; 0 if not reached yet.
     units : float
         Service received so far, in cost units.
     """
 
     account: str
     service: str
-    mark: str
-    began: float
-    first: float = 0.0
-    ended: float = 0.0
+    marker: str
+    sent_at: float
+    first_byte_at: float = 0.0
+    ended_at: float = 0.0
     units: float = 0.0
-    ending: Ending | None = None
+    outcome: Outcome | None = None
     note: str = ""
 
     @property
-    def waits(self) -> bool:
-        """Whether nothing of the answer has come yet."""
-        return not self.first and not self.ended
+    def is_waiting(self) -> bool:
+        """Whether no content of the response has arrived yet."""
+        return not self.first_byte_at and not self.ended_at
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Load:
-    """How one client account sends.
+class Workload:
+    """Request pattern of a client account.
 
     Attributes
     ----------
     callers : int
-        Requests that it has in progress at once.
+        Number of concurrent callers, each with one request in progress.
     pause_seconds : float
-        Mean pause of a caller between two requests, in seconds.
+        Mean pause of a caller between two requests, in seconds; 0 for none.
     service : str
-        The service it calls.
+        The service that is called.
     """
 
     account: str
@@ -86,174 +87,184 @@
 
 
 class Callers:
-    """All callers of a demo or a test, a thread each.
+    """All callers of a demo or a test, each with its own thread.
 
     Attributes
     ----------
-    asks : list of Ask
-        Every request, in the order of sending.
+    requests : list of CallerRequest
+        All requests, in the order of sending.
     """
 
     def __init__(
-        self, loads: list[Load], addresses: list[ids.Address], *, seed: int = 1
+        self, workloads: list[Workload], addresses: list[ids.Address], *, seed: int = 1
     ) -> None:
-        self.asks: list[Ask] = []
+        self.requests: list[CallerRequest] = []
         self._addresses = addresses
         self._pool = urllib3.PoolManager(
-            maxsize=sum(load.callers for load in loads), retries=False
+            maxsize=sum(workload.callers for workload in workloads), retries=False
         )
         self._stop = threading.Event()
-        self._marks = itertools.count(1)
+        self._markers = itertools.count(1)
         self._threads = [
             threading.Thread(
                 target=self._send_all,
-                args=(load, random.Random(f"{seed} {load.account} {place}")),
-                name=f"caller {load.account} {place}",
+                args=(workload, random.Random(f"{seed} {workload.account} {index}")),
+                name=f"caller {workload.account} {index}",
                 daemon=True,
             )
-            for load in loads
-            for place in range(load.callers)
+            for workload in workloads
+            for index in range(workload.callers)
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Send no more, and wait for the answers that are due."""
+        """Stop sending, and wait for outstanding responses."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
-    def _send_all(self, load: Load, generator: random.Random) -> None:
+    def _send_all(self, workload: Workload, generator: random.Random) -> None:
         while not self._stop.wait(
-            generator.expovariate(1 / load.pause_seconds) if load.pause_seconds else 0
+            generator.expovariate(1 / workload.pause_seconds)
+            if workload.pause_seconds
+            else 0
         ):
             address = generator.choice(self._addresses)
-            self._stop.wait(self._send(load, address, generator))
+            self._stop.wait(self._send(workload, address, generator))
 
     def _send(
-        self, load: Load, address: ids.Address, generator: random.Random
+        self, workload: Workload, address: ids.Address, generator: random.Random
     ) -> float:
-        """Send one request; return the pause after it, in seconds."""
-        ask = Ask(load.account, load.service, f"ask-{next(self._marks)}", 0.0)
-        ask.began = time.monotonic()
-        self.asks.append(ask)
-        call = _CALLS[load.service]
+        """Send a request; returns the pause after it, in seconds."""
+        request = CallerRequest(
+            workload.account, workload.service, f"ask-{next(self._markers)}", 0.0
+        )
+        request.sent_at = time.monotonic()
+        self.requests.append(request)
+        send = _SENDERS[workload.service]
         pause = 0.0
         try:
-            pause = call(self, ask, address, generator)
+            pause = send(self, request, address, generator)
         except (urllib3.exceptions.HTTPError, ValueError, KeyError) as error:
-            ask.ending, ask.note = Ending.UNKNOWN, repr(error)
-        ask.ended = time.monotonic()
+            request.outcome, request.note = Outcome.UNKNOWN, repr(error)
+        request.ended_at = time.monotonic()
         return pause
 
-    def _ask_model(
-        self, ask: Ask, address: ids.Address, generator: random.Random
+    def _send_to_model(
+        self, request: CallerRequest, address: ids.Address, generator: random.Random
     ) -> float:
         subject = generator.choice(("turnaround", "handling notes", "stand conflicts"))
         messages = [
             {"role": "system", "content": f"You plan {subject}. " + "Be brief. " * 16},
-            {"role": "user", "content": f"{subject} {ask.mark}"},
+            {"role": "user", "content": f"{subject} {request.marker}"},
         ]
         body = {
-            "model": ask.service,
+            "model": request.service,
             "messages": messages,
             "stream": True,
             "max_tokens": 200,
         }
-        answer = self._post(ask, address, "/v1/chat/completions", body)
-        if answer.status != 200:
-            return _note_refusal(ask, answer)
-        text, whole = self._read_stream(ask, answer)
+        response = self._post(request, address, "/v1/chat/completions", body)
+        if response.status != 200:
+            return _note_refusal(request, response)
+        text, complete = self._read_stream(request, response)
         digest = batch.digest_prompt(messages)
-        expected = "".join(f"{digest}.{place} " for place in range(int(ask.units)))
-        _judge(ask, whole and text == expected and bool(text), text)
+        expected = "".join(f"{digest}.{index} " for index in range(int(request.units)))
+        _set_outcome(request, complete and text == expected and bool(text), text)
         return 0.0
 
     def _read_stream(
-        self, ask: Ask, answer: urllib3.BaseHTTPResponse
+        self, request: CallerRequest, response: urllib3.BaseHTTPResponse
     ) -> tuple[str, bool]:
-        text, finished, whole = "", False, False
-        for data in _read_events(answer):
+        text, finished, complete = "", False, False
+        for data in _read_events(response):
             if data == "[DONE]":
-                whole = finished
+                complete = finished
                 continue
-            ask.first = ask.first or time.monotonic()
+            request.first_byte_at = request.first_byte_at or time.monotonic()
             fields = json.loads(data)
             if "error" in fields:
-                ask.note = json.dumps(fields)
+                request.note = json.dumps(fields)
                 continue
             choice = fields["choices"][0]
             content = choice["delta"].get("content") or ""
             text += content
-            ask.units += content.count(" ")
+            request.units += content.count(" ")
             finished = finished or choice.get("finish_reason") is not None
-        return text, whole
+        return text, complete
 
-    def _ask_gate(
-        self, ask: Ask, address: ids.Address, generator: random.Random
+    def _send_to_gate(
+        self, request: CallerRequest, address: ids.Address, generator: random.Random
     ) -> float:
-        path = f"/v1/services/{ask.service}/clearances/{ask.mark}"
-        answer = self._post(ask, address, path, {"tow": ask.mark})
-        ask.first = time.monotonic()
-        if answer.status != 200:
-            return _note_refusal(ask, answer)
-        ask.units = 1.0
-        found = json.loads(answer.data)
-        _judge(ask, ask.mark in found["path"] and ask.mark in found["body"], str(found))
+        path = f"/v1/services/{request.service}/clearances/{request.marker}"
+        response = self._post(request, address, path, {"tow": request.marker})
+        request.first_byte_at = time.monotonic()
+        if response.status != 200:
+            return _note_refusal(request, response)
+        request.units = 1.0
+        echo = json.loads(response.data)
+        _set_outcome(
+            request,
+            request.marker in echo["path"] and request.marker in echo["body"],
+            str(echo),
+        )
         return 0.0
 
     def _post(
-        self, ask: Ask, address: ids.Address, path: str, body: dict
+        self, request: CallerRequest, address: ids.Address, path: str, body: dict
     ) -> urllib3.BaseHTTPResponse:
         return self._pool.request(
             "POST",
             f"http://{address}{path}",
             headers={
-                "Authorization": f"Bearer {ask.account}",
+                "Authorization": f"Bearer {request.account}",
                 "Content-Type": "application/json",
             },
             body=json.dumps(body).encode(),
-            timeout=ANSWER_SECONDS,
+            timeout=READ_TIMEOUT_SECONDS,
             preload_content=not body.get("stream"),
         )
 
 
-_CALLS: dict[str, Callable[[Callers, Ask, ids.Address, random.Random], float]] = {
-    fleet.MODEL: Callers._ask_model,
-    fleet.GATE: Callers._ask_gate,
+_SENDERS: dict[
+    str, Callable[[Callers, CallerRequest, ids.Address, random.Random], float]
+] = {
+    fleet.MODEL: Callers._send_to_model,
+    fleet.GATE: Callers._send_to_gate,
 }
 
 
-def _read_events(answer: urllib3.BaseHTTPResponse) -> Iterator[str]:
-    rest = b""
-    for part in answer.stream(None):
-        *lines, rest = (rest + part).split(b"\n")
+def _read_events(response: urllib3.BaseHTTPResponse) -> Iterator[str]:
+    buffer = b""
+    for chunk in response.stream(None):
+        *lines, buffer = (buffer + chunk).split(b"\n")
         for line in lines:
             if line.startswith(b"data: "):
                 yield line[6:].decode().strip()
-    answer.release_conn()
+    response.release_conn()
 
 
-def _note_refusal(ask: Ask, answer: urllib3.BaseHTTPResponse) -> float:
-    outcome = answer.headers.get("Celeryspan-Outcome", "")
-    ask.note = answer.data.decode(errors="replace")
-    not_run = outcome == states.Outcome.NOT_RUN.value
-    ask.ending = Ending.NOT_RUN if not_run else Ending.UNKNOWN
-    retry_after = float(answer.headers.get("Retry-After", PAUSE_SECONDS))
+def _note_refusal(request: CallerRequest, response: urllib3.BaseHTTPResponse) -> float:
+    header = response.headers.get("Celeryspan-Outcome", "")
+    request.note = response.data.decode(errors="replace")
+    not_run = header == states.Outcome.NOT_RUN.value
+    request.outcome = Outcome.NOT_RUN if not_run else Outcome.UNKNOWN
+    retry_after = float(response.headers.get("Retry-After", DEFAULT_RETRY_SECONDS))
     return min(retry_after, RETRY_SECONDS_MAX)
 
 
-def _judge(ask: Ask, whole: bool, found: str) -> None:
-    """Decide what a caller got that was told nothing but success.
+def _set_outcome(request: CallerRequest, correct: bool, response: str) -> None:
+    """Set the outcome of a request whose response status was 200.
 
-    A stream that says itself that it broke off is of unknown outcome, not incomplete.
+    The outcome of a stream with an error event is unknown, not incomplete.
     """
-    if whole:
-        ask.ending = Ending.ANSWERED
-    elif ask.note:
-        ask.ending = Ending.UNKNOWN
+    if correct:
+        request.outcome = Outcome.ANSWERED
+    elif request.note:
+        request.outcome = Outcome.UNKNOWN
     else:
-        ask.ending, ask.note = Ending.INCOMPLETE, found[-200:]
+        request.outcome, request.note = Outcome.INCOMPLETE, response[-200:]
--- a/standins/fairness.py
+++ b/standins/fairness.py
@@ -1,4 +1,4 @@
-"""Fairness gap and utilisation, as callers and engines see them."""
+"""Measures the fairness gap and the utilisation at callers and engines."""
 
 from __future__ import annotations
 
@@ -12,78 +12,80 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Range:
-    """Least and greatest difference of two accounts while both are backlogged."""
+class DifferenceRange:
+    """Minimum and maximum difference in service of two backlogged accounts."""
 
-    least: float
-    greatest: float
+    lowest: float
+    highest: float
 
 
-class Gap:
-    """Greatest gap in service received between two backlogged client accounts.
+class FairnessGap:
+    """Maximum gap in received service between two backlogged client accounts.
 
-    For each pair of accounts the difference of their service per weight is followed
-    while both wait; the gap is by how much it moved. When one of them stops waiting,
-    the pair begins anew: what an account did not ask for is no unfairness.
+    The gap of a pair is the range of the difference in their service per weight while
+    both have waiting requests. The pair is reset once either account has none: not
+    receiving what one did not request is not unfair.
 
     Attributes
     ----------
     greatest : float
-        In cost units per weight.
+        Maximum over all pairs, in cost units per weight.
     """
 
     def __init__(self) -> None:
         self.greatest = 0.0
-        self._ranges: dict[tuple[str, str], Range] = {}
+        self._ranges: dict[tuple[str, str], DifferenceRange] = {}
 
-    def note(self, received: dict[str, float], backlogged: set[str]) -> None:
-        """Take in service received per weight, and who waits, at one moment."""
+    def add_sample(self, received: dict[str, float], backlogged: set[str]) -> None:
+        """Add a sample of the service per weight and the backlogged accounts."""
         pairs = set(itertools.combinations(sorted(backlogged), 2))
         for pair in self._ranges.keys() - pairs:
             del self._ranges[pair]
         for pair in pairs:
             difference = received.get(pair[0], 0.0) - received.get(pair[1], 0.0)
-            found = self._ranges.setdefault(pair, Range(difference, difference))
-            found.least = min(found.least, difference)
-            found.greatest = max(found.greatest, difference)
-            self.greatest = max(self.greatest, found.greatest - found.least)
+            extent = self._ranges.setdefault(
+                pair, DifferenceRange(difference, difference)
+            )
+            extent.lowest = min(extent.lowest, difference)
+            extent.highest = max(extent.highest, difference)
+            self.greatest = max(self.greatest, extent.highest - extent.lowest)
 
 
 class Sampler:
-    """Looks at callers and engines ten times a second.
+    """Samples callers and engines every ``SAMPLE_SECONDS``.
 
     Attributes
     ----------
-    gap : Gap
-        Of the accounts that ask the model.
+    gap : FairnessGap
+        Fairness gap of the accounts that call the model.
     """
 
     def __init__(
         self,
-        asking: callers.Callers,
+        traffic: callers.Callers,
         engines: list[engine.Engine],
         weights: dict[str, float],
     ) -> None:
-        self.gap = Gap()
-        self._asking = asking
+        self.gap = FairnessGap()
+        self._callers = traffic
         self._engines = engines
         self._weights = weights
-        self._busy = 0
-        self._offered = 0
+        self._busy_slots = 0
+        self._total_slots = 0
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="sampler", daemon=True)
 
     @property
     def utilisation(self) -> float:
-        """Share of the engines' slots in use, at moments when work waited for them."""
-        return self._busy / self._offered if self._offered else 0.0
+        """Share of the engines' slots in use while requests wait for all of them."""
+        return self._busy_slots / self._total_slots if self._total_slots else 0.0
 
     def start(self) -> None:
-        """Begin to sample."""
+        """Start sampling."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End sampling."""
+        """Stop sampling."""
         self._stop.set()
         self._thread.join()
 
@@ -92,15 +94,18 @@
             self._sample()
 
     def _sample(self) -> None:
-        asks = [item for item in self._asking.asks if item.service == fleet.MODEL]
+        requests = [
+            item for item in self._callers.requests if item.service == fleet.MODEL
+        ]
         received: dict[str, float] = {}
-        for ask in asks:
-            weight = self._weights.get(ask.account, 1.0)
-            received[ask.account] = received.get(ask.account, 0.0) + ask.units / weight
-        waiting = [ask.account for ask in asks if ask.waits]
-        self.gap.note(received, set(waiting))
+        for request in requests:
+            account = request.account
+            weight = self._weights.get(account, 1.0)
+            received[account] = received.get(account, 0.0) + request.units / weight
+        waiting = [item.account for item in requests if item.is_waiting]
+        self.gap.add_sample(received, set(waiting))
         slots = sum(item.batch.slots for item in self._engines)
         running = sum(len(item.batch.running) for item in self._engines)
         if len(waiting) >= slots:
-            self._busy += running
-            self._offered += slots
+            self._busy_slots += running
+            self._total_slots += slots
--- a/tests/daemons/test_demo.py
+++ b/tests/daemons/test_demo.py
@@ -6,9 +6,9 @@
 from standins import callers, fairness, fleet
 
 
-def make_ask(mark: str, ending: callers.Ending) -> callers.Ask:
-    return callers.Ask(
-        "tower", fleet.GATE, mark, 1.0, first=1.5, ended=2.0, ending=ending
+def make_ask(mark: str, outcome: callers.Outcome) -> callers.CallerRequest:
+    return callers.CallerRequest(
+        "tower", fleet.GATE, mark, 1.0, first_byte_at=1.5, ended_at=2.0, outcome=outcome
     )
 
 
@@ -17,16 +17,16 @@
 
 
 def test_whole_answers_break_nothing() -> None:
-    asks = [make_ask("ask-1", callers.Ending.ANSWERED)]
+    asks = [make_ask("ask-1", callers.Outcome.ANSWERED)]
     assert demo.list_faults(asks, make_calls("ask-1")) == []
 
 
 def test_broken_promises_are_listed() -> None:
     asks = [
-        make_ask("ask-1", callers.Ending.ANSWERED),
-        make_ask("ask-2", callers.Ending.INCOMPLETE),
-        make_ask("ask-3", callers.Ending.NOT_RUN),
-        make_ask("ask-4", callers.Ending.UNKNOWN),
+        make_ask("ask-1", callers.Outcome.ANSWERED),
+        make_ask("ask-2", callers.Outcome.INCOMPLETE),
+        make_ask("ask-3", callers.Outcome.NOT_RUN),
+        make_ask("ask-4", callers.Outcome.UNKNOWN),
     ]
     faults = demo.list_faults(asks, make_calls("ask-1", "ask-1", "ask-3", "ask-4"))
     assert [line.split(":")[0] for line in faults] == [
@@ -37,22 +37,22 @@
 
 
 def test_gap_is_how_far_two_backlogged_accounts_move_apart() -> None:
-    gap = fairness.Gap()
+    gap = fairness.FairnessGap()
     both = {"a", "b"}
-    gap.note({"a": 100.0, "b": 0.0}, both)
-    gap.note({"a": 130.0, "b": 10.0}, both)
-    gap.note({"a": 130.0, "b": 40.0}, both)
+    gap.add_sample({"a": 100.0, "b": 0.0}, both)
+    gap.add_sample({"a": 130.0, "b": 10.0}, both)
+    gap.add_sample({"a": 130.0, "b": 40.0}, both)
     assert gap.greatest == 30.0
 
 
 def test_gap_begins_anew_once_an_account_stops_waiting() -> None:
-    gap = fairness.Gap()
-    gap.note({"a": 0.0, "b": 0.0}, {"a", "b"})
-    gap.note({"a": 500.0, "b": 0.0}, {"a"})
-    gap.note({"a": 500.0, "b": 0.0}, {"a", "b"})
+    gap = fairness.FairnessGap()
+    gap.add_sample({"a": 0.0, "b": 0.0}, {"a", "b"})
+    gap.add_sample({"a": 500.0, "b": 0.0}, {"a"})
+    gap.add_sample({"a": 500.0, "b": 0.0}, {"a", "b"})
     assert gap.greatest == 0.0
 
 
 def test_table_has_a_line_for_each_account() -> None:
-    table = demo.make_table([make_ask("ask-1", callers.Ending.ANSWERED)])
+    table = demo.make_table([make_ask("ask-1", callers.Outcome.ANSWERED)])
     assert table.row_count == 1
