--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -305,7 +305,7 @@
 
 def measure_processes() -> tuple[float, float]:
     """Return seconds from apply to in force on six processes, and their store calls."""
-    plan = fleet.Plan(accounts=("desk",), routers=6, engines=0, gates=0)
+    plan = fleet.FleetOptions(accounts=("desk",), routers=6, engines=0, gates=0)
     planned = fleet.Fleet(plan)
     made = planned.make_configuration()
     planned.store.stop()  # Its threads would keep this process from ending.
--- a/bench/resting.py
+++ b/bench/resting.py
@@ -15,7 +15,7 @@
 import time
 
 from bench import passing, soakparts
-from standins import desk, objects, platformserver, ports
+from standins import objects, platformserver, ports, sampleconfig
 
 ROUTERS = 40
 DATA_CENTRES = 5
@@ -114,12 +114,12 @@
     store.start()
     with contextlib.ExitStack() as stack:
         stack.callback(store.stop)
-        store.put("config", "main", desk.make_configuration())
+        store.put("config", "main", sampleconfig.make_configuration())
         server = platformserver.PlatformServer("gate-1")
         server.start()
         stack.callback(server.stop)
         for index in range(SERVERS):
-            entry = desk.make_entry("gate", server.address, slots=64)
+            entry = sampleconfig.make_entry("gate", server.address, slots=64)
             store.put("servers", f"gate-{index}", entry)
         empty = Sample(time.monotonic(), 0.0, collections.Counter())
         routers = start_fleet(stack, store, count)
--- a/bench/routercost.py
+++ b/bench/routercost.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterator
 
 from bench import passing, soakparts
-from standins import desk, objects, platformserver, ports
+from standins import objects, platformserver, ports, sampleconfig
 
 THREADS = 32
 """Requests that the router takes at a time; the slow ones below hold all of them."""
@@ -84,9 +84,9 @@
         for server, service in ((quick, "gate"), (slow, "planner")):
             server.start()
             stack.callback(server.stop)
-            entry = desk.make_entry(service, server.address, slots=64)
+            entry = sampleconfig.make_entry(service, server.address, slots=64)
             store.put("servers", server.name, entry)
-        configuration = desk.make_configuration()
+        configuration = sampleconfig.make_configuration()
         for route in configuration["routes"]:
             route["timeout_ms"] = HELD_SECONDS * 1000
         store.put("config", "main", configuration)
@@ -103,7 +103,7 @@
     """Wait until a call is answered."""
     for _ in range(200):
         with contextlib.suppress(OSError):
-            if b" 200 " in send(router, desk.CALLS, "ready")[:16]:
+            if b" 200 " in send(router, sampleconfig.CALLS, "ready")[:16]:
                 return
         time.sleep(0.05)
     raise RuntimeError("the router never answered")
@@ -113,10 +113,10 @@
     """Return one request."""
     lines = [
         f"POST {path}1 HTTP/1.1",
-        f"Host: {desk.HOST}",
+        f"Host: {sampleconfig.HOST}",
         f"Celeryspan-Request-Id: {request}",
         f"Celeryspan-Deadline-Ms: {HELD_SECONDS * 1000}",
-        f"Celeryspan-Credential: {desk.KEY}",
+        f"Celeryspan-Credential: {sampleconfig.KEY}",
         "Celeryspan-Model: m",
         "Celeryspan-Token-Count: 1460,80",
         "Celeryspan-Prefix-Hash: 5c1e07a2:800,91bd3f06:410,e4402b7d:250",
@@ -174,14 +174,14 @@
     for number in range(40 * THREADS):
         if refused == REFUSED_IN_A_ROW:
             return
-        if b" 503 " in send(router, desk.CALLS, f"probe-{number}")[:16]:
+        if b" 503 " in send(router, sampleconfig.CALLS, f"probe-{number}")[:16]:
             refused += 1
             time.sleep(0.02)
             continue
         refused = 0
         caller = socket.create_connection(tuple(router.front), 60.0)
         stack.enter_context(caller)
-        caller.sendall(write(desk.NOTES, f"slow-{number}"))
+        caller.sendall(write(sampleconfig.NOTES, f"slow-{number}"))
     raise RuntimeError("the router took requests all the while")
 
 
@@ -189,15 +189,17 @@
     """Print the cost of calls, of streams of two lengths and of a refusal."""
     with tempfile.TemporaryDirectory() as folder, contextlib.ExitStack() as stack:
         router, process, engine = stack.enter_context(run_router(pathlib.Path(folder)))
-        call = Load("plain call", desk.CALLS, b"200")
+        call = Load("plain call", sampleconfig.CALLS, b"200")
         costs = [measure(call, router, process, REQUESTS)]
         engine.event_seconds = EVENT_SECONDS
         for engine.events in STREAMS:
-            stream = Load(f"stream of {engine.events} events", desk.NOTES, b"200")
+            stream = Load(
+                f"stream of {engine.events} events", sampleconfig.NOTES, b"200"
+            )
             costs.append(measure(stream, router, process, STREAM_REQUESTS))
         engine.event_seconds = float(HELD_SECONDS)
         hold_threads(router, stack)
-        refusal = Load("refusal", desk.CALLS, b"503")
+        refusal = Load("refusal", sampleconfig.CALLS, b"503")
         costs.append(measure(refusal, router, process, REQUESTS))
     for cost in costs:
         print(
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -27,7 +27,7 @@
 from collections.abc import Callable
 
 from bench import soakfatal, soakparts
-from standins import desk, objects, platformserver, ports
+from standins import objects, platformserver, ports, sampleconfig
 
 ROUTERS = 3
 CALLERS = 6
@@ -72,7 +72,7 @@
         self._tasks: list[threading.Thread] = []
         self._folder = folder
         self.store.start()
-        self.store.put("config", "main", desk.make_configuration(self.version))
+        self.store.put("config", "main", sampleconfig.make_configuration(self.version))
         for service, count in SERVERS.items():
             for _ in range(count):
                 self.add_server(service)
@@ -124,7 +124,7 @@
         self, name: str, service: str, proxy: soakparts.Proxy, state: str = "ready"
     ) -> None:
         """Write the entry of a backend server."""
-        spec = desk.make_entry(
+        spec = sampleconfig.make_entry(
             service, proxy.address, state=state, born=self.born[name]
         )
         self.store.put("servers", name, spec)
@@ -144,7 +144,7 @@
         """Start all, disturb for some seconds, let it settle, stop all."""
         for router in self.routers:
             router.start()
-        desk.wait_for(lambda: all(router.is_ready() for router in self.routers))
+        sampleconfig.wait_for(lambda: all(router.is_ready() for router in self.routers))
         for each in (*self.callers, *self.hoarders, self.fatal):
             each.start()
         until = time.monotonic() + seconds
@@ -329,7 +329,7 @@
 def change_configuration(soak: Soak) -> None:
     """Write a new version."""
     soak.version += soak.random.randint(1, 3)
-    soak.store.put("config", "main", desk.make_configuration(soak.version))
+    soak.store.put("config", "main", sampleconfig.make_configuration(soak.version))
 
 
 @fault
--- a/bench/soakfatal.py
+++ b/bench/soakfatal.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from standins import desk, platformserver
+from standins import platformserver, sampleconfig
 
 if TYPE_CHECKING:
     from bench import soak, soakparts
@@ -94,10 +94,10 @@
         if body == b"fatal booking":
             self.bookings.append(request)
         headers = {
-            "Host": desk.HOST,
+            "Host": sampleconfig.HOST,
             "Celeryspan-Request-Id": request,
             "Celeryspan-Deadline-Ms": "3000",
-            "Celeryspan-Credential": desk.KEY,
+            "Celeryspan-Credential": sampleconfig.KEY,
         }
         with contextlib.suppress(OSError, http.client.HTTPException, ValueError):
             connection = http.client.HTTPConnection(*router.front, timeout=CALL_SECONDS)
--- a/bench/soakparts.py
+++ b/bench/soakparts.py
@@ -19,7 +19,7 @@
 from collections.abc import Sequence
 
 from celeryspan import ids
-from standins import desk, platformserver
+from standins import platformserver, sampleconfig
 
 DESCRIPTORS = 200
 """What a router's process may have open: few enough that callers who leave their
@@ -252,7 +252,9 @@
             sock.close()
 
     def _run(self) -> None:
-        question = f"GET /calls/1 HTTP/1.1\r\nHost: {desk.HOST}\r\n\r\n".encode()
+        question = (
+            f"GET /calls/1 HTTP/1.1\r\nHost: {sampleconfig.HOST}\r\n\r\n".encode()
+        )
         while not self._stopped.wait(HOARD_SECONDS):
             with contextlib.suppress(OSError):
                 sock = socket.create_connection(self._router.front, timeout=1.0)
@@ -314,10 +316,10 @@
             with contextlib.closing(connection):
                 method = "GET" if path.startswith("/calls/") else "POST"
                 headers = {
-                    "Host": desk.HOST,
+                    "Host": sampleconfig.HOST,
                     "Celeryspan-Request-Id": request,
                     "Celeryspan-Deadline-Ms": "3000",
-                    "Celeryspan-Credential": desk.KEY,
+                    "Celeryspan-Credential": sampleconfig.KEY,
                 }
                 connection.request(method, path, headers=headers)
                 answer = connection.getresponse()
@@ -332,7 +334,7 @@
             connection = http.client.HTTPConnection(*router.directory, timeout=1.0)
             try:
                 with contextlib.closing(connection):
-                    connection.request("GET", f"/v1/resolve?name={desk.HOST}")
+                    connection.request("GET", f"/v1/resolve?name={sampleconfig.HOST}")
                     found = json.loads(connection.getresponse().read())
                 return ids.Address.parse(self._random.choice(found["addresses"]))
             except (OSError, http.client.HTTPException, ValueError, KeyError):
--- a/celeryspan/daemons/demo.py
+++ b/celeryspan/daemons/demo.py
@@ -26,7 +26,7 @@
 FLOOD_CALLERS = 40
 """Callers of the flooding account: more than twice all slots of the engines."""
 
-PLAN = fleet.Plan(
+PLAN = fleet.FleetOptions(
     accounts=(
         "airline-modra",
         "airline-severni",
--- a/celeryspan/daemons/platformdemo.py
+++ b/celeryspan/daemons/platformdemo.py
@@ -15,14 +15,19 @@
 from celeryspan import ids, kernel
 from celeryspan.daemons import gateway, registry
 from celeryspan.gateway import settings
-from standins import desk, objects, platformserver, ports
+from standins import objects, platformserver, ports, sampleconfig
 
 ROUTERS = 3
 SERVERS = {"gate": 2, "planner": 2}
 REQUESTS = 200
 CALLERS = 8
 CALL_SECONDS = 5.0
-PATHS = (desk.CALLS, desk.BOOKINGS, desk.DRAFTS, desk.NOTES)
+PATHS = (
+    sampleconfig.CALLS,
+    sampleconfig.BOOKINGS,
+    sampleconfig.DRAFTS,
+    sampleconfig.NOTES,
+)
 
 
 class PlatformDemo:
@@ -38,7 +43,7 @@
         self.store = objects.ObjectStore()
         self.store.start()
         stack.callback(self.store.stop)
-        self.store.put("config", "main", desk.make_configuration())
+        self.store.put("config", "main", sampleconfig.make_configuration())
         self.servers = [
             self._start_server(stack, f"{service}-{number}", service)
             for service, count in SERVERS.items()
@@ -55,7 +60,7 @@
 
     def wait(self) -> None:
         """Wait until each router knows all others, all servers and a configuration."""
-        desk.wait_for(
+        sampleconfig.wait_for(
             lambda: all(
                 len(box.find("membership").alive()) == ROUTERS
                 and len(box.find("servers").usable()) == len(self.servers)
@@ -69,13 +74,13 @@
         box = self.boxes[number % ROUTERS]
         path = PATHS[number % len(PATHS)]
         answer = self._pool.request(
-            "GET" if path == desk.CALLS else "POST",
+            "GET" if path == sampleconfig.CALLS else "POST",
             f"http://{box.settings.caller_address}{path}{number}",
             headers={
-                "Host": desk.HOST,
+                "Host": sampleconfig.HOST,
                 "Celeryspan-Request-Id": f"demo-{number}",
                 "Celeryspan-Deadline-Ms": "3000",
-                "Celeryspan-Credential": desk.KEY,
+                "Celeryspan-Credential": sampleconfig.KEY,
             },
         )
         return path, answer.status
@@ -86,7 +91,9 @@
         server = platformserver.PlatformServer(name, streams=service == "planner")
         server.start()
         stack.callback(server.stop)
-        self.store.put("servers", name, desk.make_entry(service, server.address))
+        self.store.put(
+            "servers", name, sampleconfig.make_entry(service, server.address)
+        )
         return server
 
     def _start_router(self, stack: contextlib.ExitStack, name: str) -> kernel.Kernel:
--- a/standins/crashing.py
+++ b/standins/crashing.py
@@ -11,7 +11,7 @@
 import time
 
 from celeryspan import ids
-from standins import desk, objects, platformserver
+from standins import objects, platformserver, sampleconfig
 
 POLL_SECONDS = 0.01
 
@@ -91,7 +91,7 @@
         server.fatal_bodies = self._fatal_bodies
         server.start()
         self.incarnations.append(server)
-        spec = desk.make_entry(self._service, server.address)
+        spec = sampleconfig.make_entry(self._service, server.address)
         self._store.put("servers", name, spec)
         return server
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole small fleet in one process: stand-ins and routers on loopback."""
+"""A small fleet in one process: stand-ins and routers on loopback."""
 
 from __future__ import annotations
 
@@ -27,24 +27,25 @@
 MODEL = "planner-llm"
 GATE = "gate-desk"
 
-READY_SECONDS = 15.0
-"""Greatest time until all routers know each other and have a configuration."""
+READY_TIMEOUT_SECONDS = 15.0
+"""Time limit for all routers to discover each other and load a configuration."""
 
 POLL_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Plan:
-    """Sizes of a fleet.
+class FleetOptions:
+    """Sizes and speeds of a fleet.
 
     Attributes
     ----------
     accounts : tuple of str
-        Names of the client accounts; each one's key is its name.
+        Names of the client accounts; the key of an account is its name.
     token_seconds : float
         Time between two tokens of an engine, in seconds.
     answer_tokens : float
-        Median length of an engine's answers; 0 makes each as long as asked for.
+        Median length of the engines' answers in tokens; 0 uses the ``max_tokens`` of
+        each request.
     """
 
     accounts: tuple[str, ...]
@@ -60,49 +61,49 @@
 
 
 class Fleet:
-    """Starts and stops all parts of a small fleet.
+    """Starts and stops the routers and stand-ins of a small fleet.
 
     Attributes
     ----------
     store : Store
-        The platform's stand-in.
+        Stand-in for the platform's object API.
     engines, gates : list
-        The backend servers' stand-ins.
+        Stand-ins for the backend servers.
     routers : list of Router
-        Each with a kernel of its own.
+        The routers, each with its own kernel.
     """
 
-    def __init__(self, plan: Plan) -> None:
-        self.plan = plan
+    def __init__(self, options: FleetOptions) -> None:
+        self.options = options
         self.store = store.Store()
         self.engines = [
             engine.Engine(
                 model=MODEL,
-                slots=plan.engine_slots,
-                token_seconds=plan.token_seconds,
-                answer_tokens=plan.answer_tokens,
+                slots=options.engine_slots,
+                token_seconds=options.token_seconds,
+                answer_tokens=options.answer_tokens,
             )
-            for _ in range(plan.engines)
+            for _ in range(options.engines)
         ]
         self.gates = [
-            service.Service(slots=plan.gate_slots, work_seconds=plan.work_seconds)
-            for _ in range(plan.gates)
+            service.Service(slots=options.gate_slots, work_seconds=options.work_seconds)
+            for _ in range(options.gates)
         ]
-        self._vms = [_make_vm(place) for place in range(plan.routers)]
+        self._vms = [_make_vm(index) for index in range(options.routers)]
         self.routers = [router.Router(self._make_settings(vm)) for vm in self._vms]
 
     @property
     def addresses(self) -> list[ids.Address]:
-        """Where the routers serve callers."""
+        """Addresses on which the routers serve callers."""
         return [ids.Address.parse(vm.caller_address) for vm in self._vms]
 
     def start(self) -> None:
-        """Start all parts and wait until every router serves.
+        """Start everything and wait until every router serves.
 
         Raises
         ------
         errors.StartError
-            If the routers don't find each other in time.
+            If the routers don't discover each other in time.
         """
         try:
             self._start()
@@ -111,15 +112,15 @@
             raise
 
     def stop(self) -> None:
-        """Stop all parts."""
-        for part in (*self.routers, *self._parts()):
-            part.stop()
+        """Stop the routers and the stand-ins."""
+        for component in (*self.routers, *self._list_standins()):
+            component.stop()
 
     def make_configuration(self) -> configuration.Configuration:
-        """Return the first generation."""
+        """Return the initial configuration, generation 1."""
         servers = [
-            *_make_servers(MODEL, self.engines, self.plan.engine_slots),
-            *_make_servers(GATE, self.gates, self.plan.gate_slots),
+            *_make_servers(MODEL, self.engines, self.options.engine_slots),
+            *_make_servers(GATE, self.gates, self.options.gate_slots),
         ]
         return configuration.Configuration(
             generation=1,
@@ -134,7 +135,7 @@
                     register.Service(
                         name=MODEL,
                         kind=states.ServiceKind.MODEL,
-                        cost_hint=max(1.0, self.plan.answer_tokens),
+                        cost_hint=max(1.0, self.options.answer_tokens),
                     ),
                     register.Service(
                         name=GATE,
@@ -145,15 +146,15 @@
                 servers=tuple(servers),
                 accounts=tuple(
                     register.Account(name=name, key_hashes=(hash_key(name),))
-                    for name in self.plan.accounts
+                    for name in self.options.accounts
                 ),
             ),
-            rules=rules.Rules(weights=self.plan.weights),
+            rules=rules.Rules(weights=self.options.weights),
         )
 
     def _start(self) -> None:
-        for part in self._parts():
-            part.start()
+        for standin in self._list_standins():
+            standin.start()
         client = store_adapter.StoreClient(str(self.store.address))
         self.store.set_vms(
             [
@@ -164,11 +165,11 @@
         standing = publishing.read_standing(client)
         value = self.make_configuration()
         publishing.publish(client, standing, value.register, value.rules, "demo")
-        for part in self.routers:
-            part.start()
+        for member in self.routers:
+            member.start()
         self._wait_ready()
 
-    def _parts(self) -> list[web.StandIn]:
+    def _list_standins(self) -> list[web.StandIn]:
         return [self.store, *self.engines, *self.gates]
 
     def _make_settings(self, vm: register.VM) -> settings.Settings:
@@ -186,13 +187,13 @@
         )
 
     def _wait_ready(self) -> None:
-        ends = time.monotonic() + READY_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         waiting = list(self.addresses)
         while waiting:
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline:
                 raise errors.StartError(
                     f"expected {len(self._vms)} routers with a configuration within "
-                    f"{READY_SECONDS:.0f} s, found fewer or none at "
+                    f"{READY_TIMEOUT_SECONDS:.0f} s, found fewer or none at "
                     f"{', '.join(str(address) for address in waiting)}",
                     step="start",
                 )
@@ -202,38 +203,38 @@
     def _is_ready(self, address: ids.Address) -> bool:
         client = routers.RouterClient(OPERATOR_KEY)
         try:
-            listed = client.get_addresses(str(address)).addresses
+            addresses = client.get_addresses(str(address)).addresses
         except errors.CeleryspanError:
             return False
-        return len(listed) == len(self._vms) and bool(
+        return len(addresses) == len(self._vms) and bool(
             client.get_report(str(address)).generation
         )
 
 
 def hash_key(key: str) -> str:
-    """Return what the register holds of a key."""
+    """Return the hash of a key, as the register stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def _make_vm(place: int) -> register.VM:
+def _make_vm(index: int) -> register.VM:
     return register.VM(
-        name=f"entry-{place + 1}",
-        data_centre=DATA_CENTRES[place % len(DATA_CENTRES)],
+        name=f"entry-{index + 1}",
+        data_centre=DATA_CENTRES[index % len(DATA_CENTRES)],
         caller_address=f"127.0.0.1:{ports.find_port()}",
         peer_address=f"127.0.0.1:{ports.find_port()}",
     )
 
 
 def _make_servers(
-    name: str, parts: list[engine.Engine] | list[service.Service], slots: int
+    name: str, backends: list[engine.Engine] | list[service.Service], slots: int
 ) -> list[register.Server]:
     return [
         register.Server(
-            name=f"{name}-{place + 1}",
+            name=f"{name}-{index + 1}",
             service=name,
-            data_centre=DATA_CENTRES[place % len(DATA_CENTRES)],
-            address=str(part.address),
+            data_centre=DATA_CENTRES[index % len(DATA_CENTRES)],
+            address=str(backend.address),
             slots=slots,
         )
-        for place, part in enumerate(parts)
+        for index, backend in enumerate(backends)
     ]
--- a/standins/desk.py
+++ b/standins/sampleconfig.py
@@ -1,4 +1,4 @@
-"""The desk that stand-ins of the platform serve: its configuration and key."""
+"""Sample configuration and server entries for the platform's stand-ins."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_route(prefix: str, kind: str, service: str, **values: object) -> dict:
-    """Return a route of the operator's configuration."""
+    """Return a route entry of the operator's configuration."""
     return {
         "name": prefix.strip("/"),
         "host": HOST,
@@ -36,7 +36,7 @@
 
 
 def make_configuration(version: int = 1, **values: object) -> dict:
-    """Return the operator's configuration: a plain service and one of engines."""
+    """Return an operator's configuration with a plain service and a model service."""
     return {
         "version": version,
         "routes": [
@@ -61,7 +61,7 @@
 
 
 def make_entry(service: str, address: object, **values: object) -> dict[str, object]:
-    """Return the entry of a backend server, as it writes it into the store."""
+    """Return the entry that a backend server writes into the store."""
     return {
         "service": service,
         "address": str(address),
@@ -76,8 +76,10 @@
 
 
 def wait_for(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds; fails if it never does."""
-    until = time.monotonic() + WAIT_SECONDS
+    """Wait until a condition holds; fails after ``WAIT_SECONDS``."""
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < until, "the condition never held"
+        assert time.monotonic() < deadline, (
+            f"condition not met within {WAIT_SECONDS:g} s"
+        )
         time.sleep(0.01)
--- a/tests/daemons/test_router.py
+++ b/tests/daemons/test_router.py
@@ -26,7 +26,9 @@
 @pytest.fixture
 def small() -> Iterator[fleet.Fleet]:
     """Start a store with a configuration; its router's process is the test's."""
-    found = fleet.Fleet(fleet.Plan(accounts=("tower",), routers=1, engines=1, gates=1))
+    found = fleet.Fleet(
+        fleet.FleetOptions(accounts=("tower",), routers=1, engines=1, gates=1)
+    )
     found.store.start()
     client = store_adapter.StoreClient(str(found.store.address))
     entries = found.make_configuration().register
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -9,16 +9,16 @@
 from celeryspan import kernel
 from celeryspan.daemons import gateway
 from celeryspan.gateway import settings
-from standins import desk, objects, platformserver, ports
+from standins import objects, platformserver, ports, sampleconfig
 
-HOST = desk.HOST
-KEY = desk.KEY
-ACCOUNT = desk.ACCOUNT
-WAIT_SECONDS = desk.WAIT_SECONDS
+HOST = sampleconfig.HOST
+KEY = sampleconfig.KEY
+ACCOUNT = sampleconfig.ACCOUNT
+WAIT_SECONDS = sampleconfig.WAIT_SECONDS
 
-make_configuration = desk.make_configuration
-make_route = desk.make_route
-wait_for = desk.wait_for
+make_configuration = sampleconfig.make_configuration
+make_route = sampleconfig.make_route
+wait_for = sampleconfig.wait_for
 
 
 class Place:
@@ -44,7 +44,7 @@
         self, server: platformserver.PlatformServer, service: str, **values: object
     ) -> None:
         """Write the entry of a backend server."""
-        spec = desk.make_entry(service, server.address, **values)
+        spec = sampleconfig.make_entry(service, server.address, **values)
         self.store.put("servers", server.name, spec)
 
     def start_router(self, name: str = "edge-1") -> Router:
--- a/tests/platform/test_servers.py
+++ b/tests/platform/test_servers.py
@@ -8,9 +8,9 @@
 
 from celeryspan import catalog, errors, storedobjects
 from celeryspan.platform import servers
-from standins import desk
+from standins import sampleconfig
 
-KEYS = tuple(desk.make_entry("gate", "10.0.0.1:80"))
+KEYS = tuple(sampleconfig.make_entry("gate", "10.0.0.1:80"))
 
 JSON = strategies.recursive(
     strategies.none()
@@ -33,7 +33,7 @@
 
 def make_spec(**values: object) -> dict[str, object]:
     """Return a valid entry with some values replaced."""
-    return {**desk.make_entry("gate", "10.0.0.1:80"), **values}
+    return {**sampleconfig.make_entry("gate", "10.0.0.1:80"), **values}
 
 
 def test_valid_entry_is_parsed() -> None:
--- a/tests/services/test_store_outages.py
+++ b/tests/services/test_store_outages.py
@@ -12,7 +12,9 @@
 from standins import fleet as fleets, store
 from tests.services import support
 
-PLAN = fleets.Plan(accounts=("desk",), routers=2, engines=0, gates=1, work_seconds=0.0)
+PLAN = fleets.FleetOptions(
+    accounts=("desk",), routers=2, engines=0, gates=1, work_seconds=0.0
+)
 
 
 @pytest.fixture
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -17,7 +17,7 @@
 
 SHOWN_HEADERS = ("Celeryspan-Outcome", "Content-Type", "Retry-After", "Allow")
 
-PLAN = fleet.Plan(
+PLAN = fleet.FleetOptions(
     accounts=("tower", "buses"),
     routers=1,
     engines=1,
