--- a/standins/fairness.py
+++ b/standins/fairness.py
@@ -77,7 +77,7 @@
 
     @property
     def utilisation(self) -> float:
-        """Share of the engines' slots in use while requests wait for all of them."""
+        """Share of slots in use, sampled while at least one request waits per slot."""
         return self._busy_slots / self._total_slots if self._total_slots else 0.0
 
     def start(self) -> None:
