--- a/celeryspan/daemons/demo.py
+++ b/celeryspan/daemons/demo.py
@@ -27,7 +27,7 @@
 FLOOD_CALLERS = 40
 """Callers of the flooding account: more than twice the slots of all engines."""
 
-PLAN = fleet.Plan(
+PLAN = fleet.FleetOptions(
     accounts=(
         "airline-modra",
         "airline-severni",
@@ -40,13 +40,13 @@
 )
 
 LOADS = [
-    callers.Load("airline-modra", FLOOD_CALLERS),
-    callers.Load("airline-severni", 6),
-    callers.Load("handler-kolo", 6),
-    callers.Load("night-planning", 2, pause_seconds=1.0),
-    callers.Load("ruzyne-gate-desk", 8),
-    callers.Load("ruzyne-gate-desk", 2, 0.1, fleet.GATE),
-    callers.Load("ruzyne-tugs", 2, 0.1, fleet.GATE),
+    callers.Workload("airline-modra", FLOOD_CALLERS),
+    callers.Workload("airline-severni", 6),
+    callers.Workload("handler-kolo", 6),
+    callers.Workload("night-planning", 2, pause_seconds=1.0),
+    callers.Workload("ruzyne-gate-desk", 8),
+    callers.Workload("ruzyne-gate-desk", 2, 0.1, fleet.GATE),
+    callers.Workload("ruzyne-tugs", 2, 0.1, fleet.GATE),
 ]
 
 TABLE_WIDTH = 100
@@ -63,10 +63,10 @@
     "service received",
 )
 
-SHOWN_ENDINGS = (
-    callers.Ending.ANSWERED,
-    callers.Ending.NOT_RUN,
-    callers.Ending.UNKNOWN,
+SHOWN_OUTCOMES = (
+    callers.Outcome.ANSWERED,
+    callers.Outcome.NOT_RUN,
+    callers.Outcome.UNKNOWN,
 )
 
 
@@ -89,14 +89,14 @@
 
     Attributes
     ----------
-    asks : list of Ask
+    asks : list of CallerRequest
         All requests of the callers.
     calls : list of dict
         All calls that the gate desk servers executed.
     """
 
     def __init__(self, console: rich.console.Console) -> None:
-        self.asks: list[callers.Ask] = []
+        self.asks: list[callers.CallerRequest] = []
         self.calls: list[dict] = []
         self._console = console
         self._started_at = time.monotonic()
@@ -116,13 +116,13 @@
 
     def summarise(self) -> Summary:
         """Summarise the outcomes of the callers and the journals of the servers."""
-        endings = collections.Counter(ask.ending for ask in self.asks)
+        outcomes = collections.Counter(ask.outcome for ask in self.asks)
         return Summary(
             asked=len(self.asks),
-            answered=endings[callers.Ending.ANSWERED],
-            not_run=endings[callers.Ending.NOT_RUN],
-            unknown=endings[callers.Ending.UNKNOWN],
-            incomplete=endings[callers.Ending.INCOMPLETE],
+            answered=outcomes[callers.Outcome.ANSWERED],
+            not_run=outcomes[callers.Outcome.NOT_RUN],
+            unknown=outcomes[callers.Outcome.UNKNOWN],
+            incomplete=outcomes[callers.Outcome.INCOMPLETE],
             ran_twice=count_ran_twice(self.calls),
             gap=round(self._sampler.gap.greatest, 1),
             utilisation=round(self._sampler.utilisation, 3),
@@ -132,7 +132,7 @@
     def _send(self, seconds: float) -> None:
         generator = callers.Callers(LOADS, self._fleet.addresses)
         self._sampler = fairness.Sampler(generator, self._fleet.engines, PLAN.weights)
-        self.asks = generator.asks
+        self.asks = generator.requests
         generator.start()
         self._sampler.start()
         self._show_progress(seconds)
@@ -145,8 +145,8 @@
         with live:
             while (elapsed := time.monotonic() - started_at) < seconds:
                 asks = list(self.asks)
-                ended = sum(bool(ask.ended) for ask in asks)
-                waiting = sum(ask.waits for ask in asks)
+                ended = sum(bool(ask.ended_at) for ask in asks)
+                waiting = sum(ask.is_waiting for ask in asks)
                 text = f"asked {len(asks)}  ended {ended}  waiting {waiting}"
                 live.update(f"{elapsed:4.1f} s  {text}", refresh=True)
                 time.sleep(REFRESH_SECONDS)
@@ -189,15 +189,15 @@
     return registry.Exit.FAILED if violations else registry.Exit.DONE
 
 
-def list_violations(asks: list[callers.Ask], calls: list[dict]) -> list[str]:
+def list_violations(asks: list[callers.CallerRequest], calls: list[dict]) -> list[str]:
     """Return one line for each violated guarantee."""
     executed = {call["path"].rsplit("/", 1)[-1] for call in calls}
     lines = []
     for ask in asks:
-        if ask.ending is callers.Ending.INCOMPLETE:
-            lines.append(f"incomplete: {ask.account} {ask.mark}: {ask.note}")
-        if ask.ending is callers.Ending.NOT_RUN and ask.mark in executed:
-            lines.append(f"reported not-run, but executed: {ask.account} {ask.mark}")
+        if ask.outcome is callers.Outcome.INCOMPLETE:
+            lines.append(f"incomplete: {ask.account} {ask.marker}: {ask.note}")
+        if ask.outcome is callers.Outcome.NOT_RUN and ask.marker in executed:
+            lines.append(f"reported not-run, but executed: {ask.account} {ask.marker}")
     ran_twice = count_ran_twice(calls)
     if ran_twice:
         lines.append(f"executed more than once: {ran_twice} clearances")
@@ -210,19 +210,21 @@
     return sum(count > 1 for count in paths.values())
 
 
-def make_table(asks: list[callers.Ask]) -> rich.table.Table:
+def make_table(asks: list[callers.CallerRequest]) -> rich.table.Table:
     """Return a table with one row for each client account."""
     table = rich.table.Table(box=None)
     for column in COLUMNS:
         table.add_column(column, justify="left" if not table.columns else "right")
     for account in sorted({ask.account for ask in asks}):
         account_asks = [ask for ask in asks if ask.account == account]
-        endings = collections.Counter(ask.ending for ask in account_asks)
-        waits = sorted(ask.first - ask.began for ask in account_asks if ask.first)
+        outcomes = collections.Counter(ask.outcome for ask in account_asks)
+        waits = sorted(
+            ask.first_byte_at - ask.sent_at for ask in account_asks if ask.first_byte_at
+        )
         table.add_row(
             account,
             str(len(account_asks)),
-            *(str(endings[ending]) for ending in SHOWN_ENDINGS),
+            *(str(outcomes[outcome]) for outcome in SHOWN_OUTCOMES),
             f"{statistics.median(waits):.2f}" if waits else "-",
             f"{waits[int(len(waits) * 0.99)]:.2f}" if waits else "-",
             f"{sum(ask.units for ask in account_asks):.0f}",
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -79,7 +79,7 @@
     """Return how many copies reached servers after the third crash was known."""
     assert len(servers.crashes) >= LATE_SENDS_MAX, "too few crashes for this test"
     known_at = sorted(at for at, _ in servers.crashes)[2] + PROPAGATION_SECONDS
-    return sum(seen.at > known_at for seen in servers.list_seen(FATAL))
+    return sum(request.at > known_at for request in servers.list_received(FATAL))
 
 
 @for_kinds(PATHS)
--- a/tests/gateway/test_keptparts.py
+++ b/tests/gateway/test_keptparts.py
@@ -28,7 +28,7 @@
     headers["Celeryspan-Prefix-Hash"] = "aa:500,bb:300,cc:100"
     assert router.call("/drafts/1", "r1", headers=headers).status == 200
     assert engines[1].ran[-1:] == ["r1"]
-    assert [engine.lists for engine in engines] == [1, 1, 1]
+    assert [engine.list_calls for engine in engines] == [1, 1, 1]
 
 
 def test_engine_with_a_malformed_list_of_cached_parts_is_still_used(cluster) -> None:
@@ -36,5 +36,5 @@
     engine.kept = {"aa": "many"}
     router = cluster.start_router()
     assert router.call("/drafts/1").status == 200
-    support.wait_for(lambda: engine.lists)
+    support.wait_for(lambda: engine.list_calls)
     assert find_cache(router, "gpu-1")._parts == {}
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -44,7 +44,7 @@
     answer = router.call("/notes/1")
     assert answer.status == 503
     assert json.loads(answer.text)["error"]["code"] == "stopping"
-    assert server.seen == []
+    assert server.received == []
 
 
 def test_refusals_begin_before_the_last_cached_address_expires() -> None:
--- a/tests/services/test_store_outages.py
+++ b/tests/services/test_store_outages.py
@@ -12,7 +12,7 @@
 from standins import fleet as fleets, store
 from tests.services import support
 
-FLEET_PLAN = fleets.Plan(
+FLEET_PLAN = fleets.FleetOptions(
     accounts=("desk",), routers=2, engines=0, gates=1, work_seconds=0.0
 )
 
