--- a/celeryspan/changes.py
+++ b/celeryspan/changes.py
@@ -80,6 +80,8 @@
     if isinstance(value, tuple):
         return f"[{', '.join(_format_value(item) for item in value)}]"
     text = str(getattr(value, "value", value))
-    if len(text) <= VALUE_CHARACTERS_MAX:
-        return text
-    return text[:VALUE_CHARACTERS_MAX] + "..."
+    return (
+        text
+        if len(text) <= VALUE_CHARACTERS_MAX
+        else text[:VALUE_CHARACTERS_MAX] + "..."
+    )
