--- a/celeryspan/checks.py
+++ b/celeryspan/checks.py
@@ -202,8 +202,9 @@
                 "retired; keep one or remove the service from the register",
             )
     vms = get_names(data, "vms")
-    stopped = {name for _, name in faults.read_texts(rules_data, "planned_stops")}
-    if vms and vms <= stopped:
+    if vms and vms <= {
+        name for _, name in faults.read_texts(rules_data, "planned_stops")
+    }:
         yield faults.Fault(
             ("planned_stops",), "expected a VM to remain, found all of them here"
         )
