--- a/celeryspan/client.py
+++ b/celeryspan/client.py
@@ -148,8 +148,9 @@
         self, model: str, messages: Sequence[dict[str, str]], **options: object
     ) -> str:
         """Return the text of a model's answer; raises the errors of :meth:`call`."""
-        request = self._make_chat_request(model, messages, options)
-        reply = self._read_reply(self._send_with_retries(request))
+        reply = self._read_reply(
+            self._send_with_retries(self._make_chat_request(model, messages, options))
+        )
         return reply.read_json()["choices"][0]["message"]["content"]
 
     def stream(
@@ -161,8 +162,9 @@
         ``AnswerUnavailable`` after the parts that were received.
         """
         options = {**options, "stream": True}
-        request = self._make_chat_request(model, messages, options)
-        response = self._send_with_retries(request)
+        response = self._send_with_retries(
+            self._make_chat_request(model, messages, options)
+        )
         try:
             yield from _read_stream(response)
         finally:
