--- a/celeryspan/explanations.py
+++ b/celeryspan/explanations.py
@@ -34,12 +34,12 @@
 @explains(events.Event.GRANT_ISSUED)
 def _explain_grant(fields: Fields) -> str:
     text = f"pool home granted a place at {fields.get('server')}"
-    text += f" after {format_seconds(fields, 'waited')} of waiting"
+    text += f" after {render_seconds(fields, 'waited')} of waiting"
     if not fields.get("read") and not fields.get("kept"):
         return text
     text += f"; {fields.get('kept')} prompt tokens cached there"
-    text += f", {format_seconds(fields, 'pending')} of prefill ahead of it"
-    text += f" and {format_seconds(fields, 'read')} of its own"
+    text += f", {render_seconds(fields, 'pending')} of prefill ahead of it"
+    text += f" and {render_seconds(fields, 'read')} of its own"
     speed = get_number(fields, "speed")
     if speed > 1.0:
         text += f"; the server is estimated to be {speed:g} times slower than usual"
@@ -50,8 +50,8 @@
 def _explain_no_place(fields: Fields) -> str:
     return (
         f"pool home granted no place ({fields.get('reason')})"
-        f" after {format_seconds(fields, 'waited')};"
-        f" retry after {format_seconds(fields, 'retry_after')}"
+        f" after {render_seconds(fields, 'waited')};"
+        f" retry after {render_seconds(fields, 'retry_after')}"
     )
 
 
@@ -60,23 +60,25 @@
     kind = "reused" if fields.get("reused") else "new"
     return (
         f"sent to {fields.get('server')} (attempt {fields.get('attempt')},"
-        f" {format_seconds(fields, 'left')} left, on a {kind} connection)"
+        f" {render_seconds(fields, 'left')} left, on a {kind} connection)"
     )
 
 
 @explains(events.Event.REQUEST_SETTLED)
 def _explain_settled(fields: Fields) -> str:
     if fields.get("outcome") != "ran":
-        outcome, error = fields.get("outcome"), fields.get("error")
-        return f"answer interrupted, outcome {outcome}: {error}"
+        return (
+            f"answer interrupted, outcome {fields.get('outcome')}:"
+            f" {fields.get('error')}"
+        )
     text = (
-        f"answered by {fields.get('server')} after {format_seconds(fields, 'seconds')}"
+        f"answered by {fields.get('server')} after {render_seconds(fields, 'seconds')}"
     )
     return (
-        f"{text}; first event after {format_seconds(fields, 'first')}"
-        f" (objective {format_seconds(fields, 'objective')}),"
-        f" longest pause {format_seconds(fields, 'gap')}"
-        f" (limit {format_seconds(fields, 'gap_max')})"
+        f"{text}; first event after {render_seconds(fields, 'first')}"
+        f" (objective {render_seconds(fields, 'objective')}),"
+        f" longest pause {render_seconds(fields, 'gap')}"
+        f" (limit {render_seconds(fields, 'gap_max')})"
     )
 
 
@@ -99,7 +101,7 @@
     since = "the first part of the answer" if fields.get("is_begun") else "it was sent"
     return (
         f"run lost at {fields.get('server')}"
-        f" {format_seconds(fields, 'seconds')} after {since}"
+        f" {render_seconds(fields, 'seconds')} after {since}"
         f" (fingerprint {fields.get('fingerprint')})"
     )
 
@@ -116,7 +118,7 @@
 
 @explains(events.Event.RUN_MOVED)
 def _explain_moved(fields: Fields) -> str:
-    return f"run to be moved: {format_fields(fields)}"
+    return f"run to be moved: {render_fields(fields)}"
 
 
 def explain(request: str, log: loglines.Log) -> list[str]:
@@ -144,7 +146,7 @@
         text = (
             describe(line.fields)
             if describe
-            else f"{line.number} {format_fields(line.fields)}"
+            else f"{line.number} {render_fields(line.fields)}"
         )
         report.append(f"{line.at - first_at:9.3f} s  {line.router}  {text}")
     return [*report, f"conclusion: {describe_outcome(lines)}"]
@@ -206,8 +208,10 @@
     fields = trace.settled.fields
     first, objective = get_number(fields, "first"), get_number(fields, "objective")
     if objective and first > objective:
-        cause = _find_delay_cause(trace, first)
-        return f"answered late, first event after its objective: {cause}"
+        return (
+            "answered late, first event after its objective:"
+            f" {_find_delay_cause(trace, first)}"
+        )
     if get_number(fields, "gap") > get_number(fields, "gap_max") > 0:
         return "answered late by a pause: check for long prompts on that server then"
     return "answered in time"
@@ -233,7 +237,7 @@
     return float(found) if isinstance(found, int | float) else 0.0
 
 
-def format_seconds(fields: Fields, name: str) -> str:
+def render_seconds(fields: Fields, name: str) -> str:
     """Return a duration from the fields of a line as text."""
     found = fields.get(name)
     return f"{found:.3g} s" if isinstance(found, int | float) else "an unknown time"
@@ -242,6 +246,6 @@
 COMMON_FIELDS = ("number", "request", "timestamp", "task_uuid", "task_level")
 
 
-def format_fields(fields: Fields) -> str:
+def render_fields(fields: Fields) -> str:
     """Return the fields of a line as text, without those that all lines have."""
     return " ".join(f"{k}={v}" for k, v in fields.items() if k not in COMMON_FIELDS)
