--- a/celeryspan/structs.py
+++ b/celeryspan/structs.py
@@ -72,12 +72,13 @@
     """Return the fault that a message of msgspec describes."""
     path = PATH_SUFFIX.search(message)
     indexes = re.findall(r"\[(\d+)\]", path.group(1)) if path else []
-    key_path: faults.KeyPath = (name, *map(int, indexes))
+    key_path: tuple[str | int, ...] = (name, *map(int, indexes))
     for index in key_path[1:]:
         value = value[index]
     expected = _describe(PATH_SUFFIX.sub("", message))
-    message = f"expected {expected}, found {validators.quote(value)}"
-    return faults.Fault(key_path, message)
+    return faults.Fault(
+        key_path, f"expected {expected}, found {validators.quote(value)}"
+    )
 
 
 def _describe(message: str) -> str:
