--- a/celeryspan/gateway/fleet.py
+++ b/celeryspan/gateway/fleet.py
@@ -57,10 +57,9 @@
         delay = POLL_DELAY_MIN_SECONDS
         while not self._stopped.is_set():
             try:
-                is_complete = self._discover()
                 delay = (
                     POLL_DELAY_MAX_SECONDS
-                    if is_complete
+                    if self._discover()
                     else min(delay * 2, POLL_DELAY_MAX_SECONDS)
                 )
             except errors.StoreError as error:
