--- a/celeryspan/services/runs.py
+++ b/celeryspan/services/runs.py
@@ -61,8 +61,11 @@
             # A process that resumes after a suspension finds its deadlines passed. The
             # caller has given up long ago, so the request must not run late.
             self.progress.release()
-            cancelled = call.cancellation.is_cancelled
-            code = "caller-left" if cancelled else "deadline-passed"
+            code = (
+                "deadline-passed"
+                if not call.cancellation.is_cancelled
+                else "caller-left"
+            )
             raise errors.NotRun(
                 "nobody waits for the answer any more",
                 code=code,
