--- a/celeryspan/services/slots.py
+++ b/celeryspan/services/slots.py
@@ -80,7 +80,7 @@
                 peer=self.server,
             )
 
-    def measure(self, now: float) -> RunningTotals:
+    def measure(self, now: float) -> tuple[float, float]:
         """Return seconds and units since the first unit, or zeros before it."""
         if self._first_unit_at is None:
             return 0.0, 0.0
