--- a/standins/batch.py
+++ b/standins/batch.py
@@ -184,8 +184,10 @@
         for run in list(self.running):
             generated = run.length
             if self.timings.token_seconds > 0:
-                elapsed = now - run.prefilled_at
-                generated = math.floor(elapsed / self.timings.token_seconds) + 1
+                generated = (
+                    math.floor((now - run.prefilled_at) / self.timings.token_seconds)
+                    + 1
+                )
             generated = max(run.done_tokens, min(generated, run.length))
             self.tokens_total += generated - run.done_tokens
             run.done_tokens = generated
