--- a/standins/fairness.py
+++ b/standins/fairness.py
@@ -99,9 +99,10 @@
         ]
         received: dict[str, float] = {}
         for request in requests:
-            account = request.account
-            weight = self._weights.get(account, 1.0)
-            received[account] = received.get(account, 0.0) + request.units / weight
+            weight = self._weights.get(request.account, 1.0)
+            received[request.account] = (
+                received.get(request.account, 0.0) + request.units / weight
+            )
         waiting = [item.account for item in requests if item.is_waiting]
         self.gap.add_sample(received, set(waiting))
         slots = sum(item.batch.slots for item in self._engines)
