--- a/standins/objects.py
+++ b/standins/objects.py
@@ -111,8 +111,9 @@
                 if stored is None:
                     return web.make_json_response({}, HTTPStatus.NOT_FOUND)
                 return web.make_json_response(stored)
-            after = query.get("after", "")
-            names = sorted(key for key in self._objects[kind] if key > after)
+            names = sorted(
+                key for key in self._objects[kind] if key > query.get("after", "")
+            )
             entries = [self._objects[kind][key] for key in names[: self.page_size]]
             has_more = len(names) > self.page_size
             return web.make_json_response(
