--- a/standins/platformserver.py
+++ b/standins/platformserver.py
@@ -214,8 +214,8 @@
 
     def _move_run(self, request: ReceivedRequest, connection: socket.socket) -> bool:
         """Stop a stream and return the handle of its copy."""
-        run_id = json.loads(request.body)["id"]
-        stop_event = self._streams.get(run_id)
+        move = json.loads(request.body)
+        stop_event = self._streams.get(move["id"])
         if self.move_status == 0:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
             return False
@@ -223,7 +223,7 @@
             connection.sendall(self._write_head(request, 404, 0))
             return True
         stop_event.set()
-        body = json.dumps({"kv_handle": f"copy-{run_id}", "created": 1}).encode()
+        body = json.dumps({"kv_handle": f"copy-{move['id']}", "created": 1}).encode()
         head = self._write_head(request, self.move_status, len(body))
         connection.sendall(head + body)
         return True
