--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -48,9 +48,15 @@
 
 
 def test_refusals_begin_before_the_last_cached_address_expires() -> None:
-    cached_seconds = stopping.CACHED_TTLS_MAX * directory.ADDRESSES_TTL_SECONDS
-    accepted_seconds = cached_seconds - stopping.REFUSAL_MARGIN_SECONDS
-    assert 2.5 <= accepted_seconds < cached_seconds
+    accepted_seconds = (
+        stopping.CACHED_TTLS_MAX * directory.ADDRESSES_TTL_SECONDS
+        - stopping.REFUSAL_MARGIN_SECONDS
+    )
+    assert (
+        2.5
+        <= accepted_seconds
+        < stopping.CACHED_TTLS_MAX * directory.ADDRESSES_TTL_SECONDS
+    )
 
 
 def test_requests_are_served_after_the_home_of_their_pool_has_stopped(cluster) -> None:
