--- a/celeryspan/daemons/command.py
+++ b/celeryspan/daemons/command.py
@@ -44,42 +44,42 @@
     if not arguments or arguments[0] in HELP_NAMES:
         print(render_help())
         return registry.Exit.DONE if arguments else registry.Exit.USAGE
-    command = registry.COMMANDS.get(arguments[0])
-    if command is None:
+    subcommand = registry.COMMANDS.get(arguments[0])
+    if subcommand is None:
         names = ", ".join(sorted(registry.COMMANDS))
         return report_usage_error(
             f"expected a command ({names}), found {arguments[0]!r}"
         )
     if any(argument in HELP_NAMES[1:] for argument in arguments[1:]):
-        print(render_command_help(command))
+        print(render_command_help(subcommand))
         return registry.Exit.DONE
-    return parse_and_run(command, arguments[1:])
+    return parse_and_run(subcommand, arguments[1:])
 
 
-def parse_and_run(command: registry.Command, arguments: list[str]) -> registry.Exit:
+def parse_and_run(subcommand: registry.Command, arguments: list[str]) -> registry.Exit:
     """Parse the flags and arguments of a command and run it."""
     values = flags.FlagValues()
-    command.define(values)
+    subcommand.define(values)
     try:
         rest = values([PROGRAM, *arguments])[1:]
     except flags.Error as error:
-        return report_usage_error(f"{command.name}: {' '.join(str(error).split())}")
-    if not command.accepts(len(rest)):
-        expected = " ".join(command.arguments) or "no arguments"
+        return report_usage_error(f"{subcommand.name}: {' '.join(str(error).split())}")
+    if not subcommand.accepts(len(rest)):
+        expected = " ".join(subcommand.arguments) or "no arguments"
         return report_usage_error(
-            f"{command.name}: expected {expected}, found {' '.join(rest) or 'none'}"
+            f"{subcommand.name}: expected {expected}, found {' '.join(rest) or 'none'}"
         )
-    return run_command(command, rest, values)
+    return run_command(subcommand, rest, values)
 
 
 def run_command(
-    command: registry.Command, arguments: list[str], values: flags.FlagValues
+    subcommand: registry.Command, arguments: list[str], values: flags.FlagValues
 ) -> registry.Exit:
     """Run a command with parsed flags and arguments, and print its errors."""
     try:
-        return command.run(arguments, values)
+        return subcommand.run(arguments, values)
     except registry.UsageError as error:
-        return report_usage_error(f"{command.name}: {error}")
+        return report_usage_error(f"{subcommand.name}: {error}")
     except errors.InputError as error:
         return report_errors([str(error)], registry.Exit.INVALID)
     except errors.Conflict as error:
@@ -110,14 +110,18 @@
     return "\n".join([*lines, *_render_exit_codes()])
 
 
-def render_command_help(command: registry.Command) -> str:
+def render_command_help(subcommand: registry.Command) -> str:
     """Return the description of a command, its flags and the exit codes."""
     values = flags.FlagValues()
-    command.define(values)
-    usage = " ".join((PROGRAM, command.name, *command.arguments))
-    lines = [f"usage: {usage}{' [FLAGS]' if len(values) else ''}", "", command.summary]
-    if command.text:
-        lines += ["", command.text.rstrip()]
+    subcommand.define(values)
+    usage = " ".join((PROGRAM, subcommand.name, *subcommand.arguments))
+    lines = [
+        f"usage: {usage}{' [FLAGS]' if len(values) else ''}",
+        "",
+        subcommand.summary,
+    ]
+    if subcommand.text:
+        lines += ["", subcommand.text.rstrip()]
     if len(values):
         lines += ["", "flags:"]
     for name in values:
