--- a/celeryspan/daemons/operations.py
+++ b/celeryspan/daemons/operations.py
@@ -85,17 +85,17 @@
     router = registry.require(values, "router", "HOST:PORT") if values.wait else ""
     entries, added = inputs.read_register_and_rules(*arguments)
     client = store.StoreClient(find_store_address(values))
-    current = publishing.read_stored(client)
-    lines = changes.describe_changes(current.value, entries, added)
+    stored = publishing.read_stored(client)
+    lines = changes.describe_changes(stored.value, entries, added)
     if not lines:
-        print(f"no changes; generation {current.generation} stays")
+        print(f"no changes; generation {stored.generation} stays")
         return registry.Exit.DONE
     print("\n".join(lines))
     if values.dry_run:
-        print(f"{len(lines)} changes to generation {current.generation}; not written")
+        print(f"{len(lines)} changes to generation {stored.generation}; not written")
         return registry.Exit.DONE
     author = values.author or f"{getpass.getuser()}@{socket.gethostname()}"
-    published = publishing.publish(client, current, entries, added, author)
+    published = publishing.publish(client, stored, entries, added, author)
     print(
         f"generation {published.generation} written: {len(lines)} changes by {author}"
     )
