--- a/celeryspan/daemons/platformdemo.py
+++ b/celeryspan/daemons/platformdemo.py
@@ -134,14 +134,14 @@
         run_counts = collections.Counter(name for s in demo.servers for name in s.ran)
     print_table(responses)
     answered = sum(status == 200 for _, status in responses)
-    ran_twice = sum(count > 1 for count in run_counts.values())
+    served_twice = sum(count > 1 for count in run_counts.values())
     seconds = time.monotonic() - started_at
     print(
-        f"asked {len(responses)}, answered {answered}, ran_twice {ran_twice},"
+        f"asked {len(responses)}, answered {answered}, ran_twice {served_twice},"
         f" {seconds:.1f} s",
         flush=True,
     )
-    succeeded = answered == len(responses) and not ran_twice
+    succeeded = answered == len(responses) and not served_twice
     return registry.Exit.DONE if succeeded else registry.Exit.FAILED
 
 
