--- a/standins/callers.py
+++ b/standins/callers.py
@@ -101,19 +101,19 @@
         self.requests: list[CallerRequest] = []
         self._addresses = addresses
         self._pool = urllib3.PoolManager(
-            maxsize=sum(workload.callers for workload in workloads), retries=False
+            maxsize=sum(load.callers for load in workloads), retries=False
         )
         self._stop = threading.Event()
         self._markers = itertools.count(1)
         self._threads = [
             threading.Thread(
                 target=self._send_all,
-                args=(workload, random.Random(f"{seed} {workload.account} {index}")),
-                name=f"caller {workload.account} {index}",
+                args=(load, random.Random(f"{seed} {load.account} {number}")),
+                name=f"caller {load.account} {number}",
                 daemon=True,
             )
-            for workload in workloads
-            for index in range(workload.callers)
+            for load in workloads
+            for number in range(load.callers)
         ]
 
     def start(self) -> None:
