--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -230,11 +230,11 @@
 ) -> list[register.Server]:
     return [
         register.Server(
-            name=f"{name}-{index + 1}",
+            name=f"{name}-{position + 1}",
             service=name,
-            data_centre=DATA_CENTRES[index % len(DATA_CENTRES)],
+            data_centre=DATA_CENTRES[position % len(DATA_CENTRES)],
             address=str(backend.address),
             slots=slots,
         )
-        for index, backend in enumerate(backends)
+        for position, backend in enumerate(backends)
     ]
