--- a/celeryspan/daemons/gateway.py
+++ b/celeryspan/daemons/gateway.py
@@ -63,14 +63,14 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, (*STOP_SIGNALS, signal.SIGHUP))
     writer = events.open_log(sys.stdout)
     import_services()
-    box = kernel.Kernel(found)
-    box.start(SERVICES)
-    stop: stopping.Stopping = box.find("stopping")
+    container = kernel.Kernel(found)
+    container.start(SERVICES)
+    stop: stopping.Stopping = container.find("stopping")
     threading.Thread(
         target=handle_signals, args=(stop, path), name="signals", daemon=True
     ).start()
     stop.finished.wait()
-    box.stop()
+    container.stop()
     writer.write_queued()
     return registry.Exit.DONE
 
--- a/celeryspan/daemons/platformdemo.py
+++ b/celeryspan/daemons/platformdemo.py
@@ -50,7 +50,7 @@
             for number in range(count)
         ]
         gateway.import_services()
-        self.boxes = [
+        self.containers = [
             self._start_router(stack, f"edge-{number}") for number in range(ROUTERS)
         ]
         self._pool = urllib3.PoolManager(
@@ -62,20 +62,20 @@
         """Wait until each router is ready and has found all routers and servers."""
         sampleconfig.wait_for(
             lambda: all(
-                len(box.find("membership").alive()) == ROUTERS
-                and len(box.find("servers").usable()) == len(self.servers)
-                and box.find("directory").is_ready()
-                for box in self.boxes
+                len(container.find("membership").alive()) == ROUTERS
+                and len(container.find("servers").usable()) == len(self.servers)
+                and container.find("directory").is_ready()
+                for container in self.containers
             )
         )
 
     def ask(self, number: int) -> tuple[str, int]:
         """Send a request to one of the routers and return its path and status."""
-        box = self.boxes[number % ROUTERS]
+        container = self.containers[number % ROUTERS]
         path = PATHS[number % len(PATHS)]
         answer = self._pool.request(
             "GET" if path == sampleconfig.CALLS else "POST",
-            f"http://{box.settings.caller_address}{path}{number}",
+            f"http://{container.settings.caller_address}{path}{number}",
             headers={
                 "Host": sampleconfig.HOST,
                 "Celeryspan-Request-Id": f"demo-{number}",
@@ -101,7 +101,7 @@
         front, peer, ready, directory = (
             str(ids.Address("127.0.0.1", port)) for port in found
         )
-        box = kernel.Kernel(
+        container = kernel.Kernel(
             settings.Settings(
                 router=name,
                 data_centre="hala-a",
@@ -113,9 +113,9 @@
                 fleet_keys=("demo",),
             )
         )
-        box.start(gateway.SERVICES)
-        stack.callback(box.stop)
-        return box
+        container.start(gateway.SERVICES)
+        stack.callback(container.stop)
+        return container
 
 
 @registry.command("demo-platform")
--- a/celeryspan/gateway/attempts.py
+++ b/celeryspan/gateway/attempts.py
@@ -32,8 +32,8 @@
 class Attempts:
     """Decides on retries and takes them from the budget."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._budgets: budgets.RetryBudgets = box.find("budgets")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._budgets: budgets.RetryBudgets = container.find("budgets")
 
     def start(self) -> None:
         """Do nothing: the service has no background work."""
--- a/celeryspan/gateway/budgets.py
+++ b/celeryspan/gateway/budgets.py
@@ -17,9 +17,9 @@
 class RetryBudgets:
     """Holds a retry budget for each service."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._pool_map: poolmap.PoolMap = box.find("poolmap")
-        self._settings = box.settings
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._pool_map: poolmap.PoolMap = container.find("poolmap")
+        self._settings = container.settings
         self._budgets: dict[ids.ServiceId, retrybudget.RetryBudget] = {}
         self._lock = threading.Lock()
 
--- a/celeryspan/gateway/carrier.py
+++ b/celeryspan/gateway/carrier.py
@@ -60,19 +60,19 @@
 class Carrier:
     """Forwards orders to backend servers and relays their answers."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._catalogues: catalogues.CataloguesService = box.find("catalogues")
-        self._channels: channels.Channels = box.find("channels")
-        self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
-        self._places: places.SlotClient = box.find("places")
-        self._quarantine: quarantines.QuarantineService = box.find("quarantine")
-        self._budgets: budgets.RetryBudgets = box.find("budgets")
-        self._migrations: migrations.Migrations = box.find("migrations")
-        self._attempts: attempts.Attempts = box.find("attempts")
-        self._sender: sender.Sender = box.find("sender")
-        self._servers: serverlists.ServersService = box.find("servers")
-        self._metrics: metrics.Metrics = box.find("metrics")
-        self._data_centre = ids.DataCentreId(box.settings.data_centre)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._catalogues: catalogues.CataloguesService = container.find("catalogues")
+        self._channels: channels.Channels = container.find("channels")
+        self._crashwatch: crashwatch.CrashWatch = container.find("crashwatch")
+        self._places: places.SlotClient = container.find("places")
+        self._quarantine: quarantines.QuarantineService = container.find("quarantine")
+        self._budgets: budgets.RetryBudgets = container.find("budgets")
+        self._migrations: migrations.Migrations = container.find("migrations")
+        self._attempts: attempts.Attempts = container.find("attempts")
+        self._sender: sender.Sender = container.find("sender")
+        self._servers: serverlists.ServersService = container.find("servers")
+        self._metrics: metrics.Metrics = container.find("metrics")
+        self._data_centre = ids.DataCentreId(container.settings.data_centre)
 
     def start(self) -> None:
         """Subscribe the connection pool to changes of the server list."""
--- a/celeryspan/gateway/catalogues.py
+++ b/celeryspan/gateway/catalogues.py
@@ -40,18 +40,18 @@
 class CataloguesService:
     """Holds the catalogue in force; only a higher revision replaces it."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        store: objectstore.ObjectStore = box.find("objects")
-        self._links: links.LinksService = box.find("links")
-        self._membership: membership.MembershipService = box.find("membership")
+    def __init__(self, container: kernel.Kernel) -> None:
+        store: objectstore.ObjectStore = container.find("objects")
+        self._links: links.LinksService = container.find("links")
+        self._membership: membership.MembershipService = container.find("membership")
         self._current: catalog.Catalogue | None = None
         self._object: storedobjects.StoredObject | None = None
         self._handlers: list[Handler] = []
         self._lock = threading.Lock()
         self._next_request_at = 0.0
         self._behind_since: float | None = None
-        own: identity.IdentityService = box.find("identity")
-        self._relays: relays.RelayService = box.find("relays")
+        own: identity.IdentityService = container.find("identity")
+        self._relays: relays.RelayService = container.find("relays")
         self._follower = followers.Follower(
             store.client, names.CONFIGURATION_KIND, self, own.router, depth=0
         )
--- a/celeryspan/gateway/channels.py
+++ b/celeryspan/gateway/channels.py
@@ -251,14 +251,14 @@
 class Channels:
     """Opens connections to backend servers and keeps idle ones for reuse."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
+    def __init__(self, container: kernel.Kernel) -> None:
         self._lock = threading.Lock()
         self._idle: dict[ids.ServerId, collections.deque[Channel]] = {}
         # All idle connections, the one that has been idle longest first.
         self._idle_by_age: collections.OrderedDict[Channel, None] = (
             collections.OrderedDict()
         )
-        allowed = getattr(box.settings, "descriptors_max", 0)
+        allowed = getattr(container.settings, "descriptors_max", 0)
         self._idle_max = callerconnections.compute_budget(allowed).servers
         self._open: weakref.WeakSet[Channel] = weakref.WeakSet()
         self._usable: Mapping[ids.ServerId, catalog.ServerEntry] = {}
--- a/celeryspan/gateway/crashwatch.py
+++ b/celeryspan/gateway/crashwatch.py
@@ -40,9 +40,11 @@
 class CrashWatch:
     """Records lost runs and reports the servers that crashed under them."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._servers: serverlists.ServersService = box.find("servers")
-        self._fingerprinter = fingerprints.Fingerprinter(box.settings.fleet_keys[0])
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._servers: serverlists.ServersService = container.find("servers")
+        self._fingerprinter = fingerprints.Fingerprinter(
+            container.settings.fleet_keys[0]
+        )
         self._detector = crashes.CrashDetector()
         self._lock = threading.Lock()
         self._probes: dict[str, threading.Event] = {}
--- a/celeryspan/gateway/directory.py
+++ b/celeryspan/gateway/directory.py
@@ -53,12 +53,12 @@
         Whether this router is stopping: it is not listed and reports not ready.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._settings = box.settings
-        self._catalogues: catalogues.CataloguesService = box.find("catalogues")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._metrics: metrics.Metrics = box.find("metrics")
-        self._servers: serverlists.ServersService = box.find("servers")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._settings = container.settings
+        self._catalogues: catalogues.CataloguesService = container.find("catalogues")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._metrics: metrics.Metrics = container.find("metrics")
+        self._servers: serverlists.ServersService = container.find("servers")
         self._random = random.Random(time.time_ns())
         self.draining = False
         self._http_servers: list[httpserver.Server] = []
--- a/celeryspan/gateway/fleet.py
+++ b/celeryspan/gateway/fleet.py
@@ -30,15 +30,15 @@
 class FleetService:
     """Writes this router's entry; passes the others' to the membership and relays."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        store: objectstore.ObjectStore = box.find("objects")
+    def __init__(self, container: kernel.Kernel) -> None:
+        store: objectstore.ObjectStore = container.find("objects")
         self._client = store.client
-        self._identity: identity.IdentityService = box.find("identity")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._relays: relays.RelayService = box.find("relays")
+        self._identity: identity.IdentityService = container.find("identity")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._relays: relays.RelayService = container.find("relays")
         self._own = routers.RouterEntry(
-            ids.Address.parse(box.settings.peer_address),
-            ids.DataCentreId(box.settings.data_centre),
+            ids.Address.parse(container.settings.peer_address),
+            ids.DataCentreId(container.settings.data_centre),
         )
         self._is_written = False
         self._random = random.Random(time.time_ns())
--- a/celeryspan/gateway/front.py
+++ b/celeryspan/gateway/front.py
@@ -100,13 +100,13 @@
         Whether new requests are refused because the router is about to stop.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._settings = box.settings
-        self._carrier: carrier.Carrier = box.find("carrier")
-        self._catalogues: catalogues.CataloguesService = box.find("catalogues")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._metrics: metrics.Metrics = box.find("metrics")
-        self._random = random.Random(f"{box.settings.router} {time.time_ns()}")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._settings = container.settings
+        self._carrier: carrier.Carrier = container.find("carrier")
+        self._catalogues: catalogues.CataloguesService = container.find("catalogues")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._metrics: metrics.Metrics = container.find("metrics")
+        self._random = random.Random(f"{container.settings.router} {time.time_ns()}")
         self._lock = threading.Lock()
         self._in_progress: dict[int, orders.Order | None] = {}
         self._overload = overload.ConcurrencyLimiter(self._settings.caller_threads)
--- a/celeryspan/gateway/keptparts.py
+++ b/celeryspan/gateway/keptparts.py
@@ -23,7 +23,7 @@
 class KeptParts:
     """Asks engines from its own threads; failed calls are not repeated."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
+    def __init__(self, container: kernel.Kernel) -> None:
         self._client = engines.EngineClient()
         self._executor = concurrent.futures.ThreadPoolExecutor(
             QUERY_THREADS, thread_name_prefix="keptparts"
--- a/celeryspan/gateway/migrations.py
+++ b/celeryspan/gateway/migrations.py
@@ -59,11 +59,11 @@
 class Migrations:
     """Executes the migrations that home routers request."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._budgets: budgets.RetryBudgets = box.find("budgets")
-        self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._places: places.SlotClient = box.find("places")
-        self._servers: serverlists.ServersService = box.find("servers")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._budgets: budgets.RetryBudgets = container.find("budgets")
+        self._delivery: delivery.DeliveryService = container.find("delivery")
+        self._places: places.SlotClient = container.find("places")
+        self._servers: serverlists.ServersService = container.find("servers")
         self._client = engines.EngineClient()
 
     def start(self) -> None:
--- a/celeryspan/gateway/objectstore.py
+++ b/celeryspan/gateway/objectstore.py
@@ -16,8 +16,8 @@
         Client for services that read or write the store.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self.client = objects.ObjectClient(box.settings.store_address)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self.client = objects.ObjectClient(container.settings.store_address)
 
     def start(self) -> None:
         """Do nothing: the first call opens a connection."""
--- a/celeryspan/gateway/places.py
+++ b/celeryspan/gateway/places.py
@@ -74,10 +74,10 @@
 class SlotClient:
     """Waits for slots and reports the progress of runs to the homes of their pools."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._identity: identity.IdentityService = box.find("identity")
-        self._map: poolmap.PoolMap = box.find("poolmap")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._delivery: delivery.DeliveryService = container.find("delivery")
+        self._identity: identity.IdentityService = container.find("identity")
+        self._map: poolmap.PoolMap = container.find("poolmap")
         self._lock = threading.Lock()
         self._waiters: dict[ids.RequestId, _Waiter] = {}
         self._slots: dict[ids.RequestId, Slot] = {}
--- a/celeryspan/gateway/poolhomes.py
+++ b/celeryspan/gateway/poolhomes.py
@@ -67,14 +67,14 @@
     no home accepted would wait in vain.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._catalogues: catalogues.CataloguesService = box.find("catalogues")
-        self._delivery: delivery.DeliveryService = box.find("delivery")
-        self._identity: identity.IdentityService = box.find("identity")
-        self._kept_parts: keptparts.KeptParts = box.find("keptparts")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._map: poolmap.PoolMap = box.find("poolmap")
-        self._servers: serverlists.ServersService = box.find("servers")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._catalogues: catalogues.CataloguesService = container.find("catalogues")
+        self._delivery: delivery.DeliveryService = container.find("delivery")
+        self._identity: identity.IdentityService = container.find("identity")
+        self._kept_parts: keptparts.KeptParts = container.find("keptparts")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._map: poolmap.PoolMap = container.find("poolmap")
+        self._servers: serverlists.ServersService = container.find("servers")
         self._random = random.Random(self._identity.incarnation)
         self._lock = threading.Lock()
         self._pools: dict[ids.PoolId, pools.Pool] = {}
--- a/celeryspan/gateway/poolmap.py
+++ b/celeryspan/gateway/poolmap.py
@@ -32,10 +32,10 @@
 class PoolMap:
     """Finds pools for requests, and homes for pools."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._servers: serverlists.ServersService = box.find("servers")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._servers: serverlists.ServersService = container.find("servers")
         self._pressures = shards.Pressures()
         self._excluded_until: dict[ids.RouterId, float] = {}
         self._router_count = 1
--- a/celeryspan/gateway/quarantines.py
+++ b/celeryspan/gateway/quarantines.py
@@ -70,13 +70,13 @@
         The newest known digest and revision of the suspects in the store.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
-        self._datagrams: datagrams.DatagramsService = box.find("datagrams")
-        self._identity: identity.IdentityService = box.find("identity")
-        self._links: links.LinksService = box.find("links")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._metrics: metrics.Metrics = box.find("metrics")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._crashwatch: crashwatch.CrashWatch = container.find("crashwatch")
+        self._datagrams: datagrams.DatagramsService = container.find("datagrams")
+        self._identity: identity.IdentityService = container.find("identity")
+        self._links: links.LinksService = container.find("links")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._metrics: metrics.Metrics = container.find("metrics")
         self._random = random.Random(self._identity.incarnation)
         self._quarantine = quarantine.Quarantine()
         self._gossip = gossip.Gossip()
--- a/celeryspan/gateway/quarantinestore.py
+++ b/celeryspan/gateway/quarantinestore.py
@@ -53,12 +53,12 @@
 class QuarantineStore:
     """Writes and reads the stored object that holds the suspects."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        store: objectstore.ObjectStore = box.find("objects")
+    def __init__(self, container: kernel.Kernel) -> None:
+        store: objectstore.ObjectStore = container.find("objects")
         self._client = store.client
-        self._identity: identity.IdentityService = box.find("identity")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._quarantine: quarantines.QuarantineService = box.find("quarantine")
+        self._identity: identity.IdentityService = container.find("identity")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._quarantine: quarantines.QuarantineService = container.find("quarantine")
         self._revision: int | None = None
         self._write_due_at = 0.0
         self._reads_completed = 0
--- a/celeryspan/gateway/relays.py
+++ b/celeryspan/gateway/relays.py
@@ -56,13 +56,13 @@
 class RelayService:
     """Exchanges the contents of the store with other routers."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._links: links.LinksService = box.find("links")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._data_centre = ids.DataCentreId(box.settings.data_centre)
-        own_address = box.settings.peer_address
-        self._has_seeds = any(peer != own_address for peer in box.settings.peers)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._links: links.LinksService = container.find("links")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._data_centre = ids.DataCentreId(container.settings.data_centre)
+        own_address = container.settings.peer_address
+        self._has_seeds = any(peer != own_address for peer in container.settings.peers)
         self._listed: dict[ids.RouterId, ids.DataCentreId] = {}
         self._is_settled = False
         self._listed_expire_at = time.monotonic() + LISTED_ROUTERS_SECONDS
--- a/celeryspan/gateway/sender.py
+++ b/celeryspan/gateway/sender.py
@@ -39,13 +39,13 @@
 class Sender:
     """Sends requests to a single server and relays streamed answers."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._channels: channels.Channels = box.find("channels")
-        self._crashwatch: crashwatch.CrashWatch = box.find("crashwatch")
-        self._quarantine: quarantines.QuarantineService = box.find("quarantine")
-        self._migrations: migrations.Migrations = box.find("migrations")
-        self._places: places.SlotClient = box.find("places")
-        self._servers: serverlists.ServersService = box.find("servers")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._channels: channels.Channels = container.find("channels")
+        self._crashwatch: crashwatch.CrashWatch = container.find("crashwatch")
+        self._quarantine: quarantines.QuarantineService = container.find("quarantine")
+        self._migrations: migrations.Migrations = container.find("migrations")
+        self._places: places.SlotClient = container.find("places")
+        self._servers: serverlists.ServersService = container.find("servers")
 
     def start(self) -> None:
         """Do nothing: the service has no background work."""
--- a/celeryspan/gateway/serverlists.py
+++ b/celeryspan/gateway/serverlists.py
@@ -26,14 +26,14 @@
 class ServersService:
     """Holds the entries of backend servers, and which may get new requests."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        store: objectstore.ObjectStore = box.find("objects")
+    def __init__(self, container: kernel.Kernel) -> None:
+        store: objectstore.ObjectStore = container.find("objects")
         self._list = serverlist.ServerList()
         self._lock = threading.Lock()
         self._handlers: list[Handler] = []
         self._usable: dict[ids.ServerId, catalog.ServerEntry] = {}
-        own: identity.IdentityService = box.find("identity")
-        self._relays: relays.RelayService = box.find("relays")
+        own: identity.IdentityService = container.find("identity")
+        self._relays: relays.RelayService = container.find("relays")
         self._follower = followers.Follower(
             store.client, names.SERVER_KIND, self, own.router
         )
--- a/celeryspan/gateway/stopping.py
+++ b/celeryspan/gateway/stopping.py
@@ -42,11 +42,11 @@
         Set when the process may end.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._directory: directory.Directory = box.find("directory")
-        self._front: front.Front = box.find("front")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._grace_seconds = box.settings.grace_seconds
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._directory: directory.Directory = container.find("directory")
+        self._front: front.Front = container.find("front")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._grace_seconds = container.settings.grace_seconds
         self._begin_lock = threading.Lock()
         self.finished = threading.Event()
 
--- a/celeryspan/metrics.py
+++ b/celeryspan/metrics.py
@@ -68,12 +68,12 @@
 
     Parameters
     ----------
-    box : Kernel or None
+    container : Kernel or None
         The kernel whose services are read; without it nothing is collected.
     """
 
-    def __init__(self, box: kernel.Kernel | None) -> None:
-        self._box = box
+    def __init__(self, container: kernel.Kernel | None) -> None:
+        self._container = container
 
     def collect(self) -> Iterator[core.Metric]:
         """Yield the counters of bytes and messages, by direction and message kind."""
@@ -95,9 +95,9 @@
             yield family
 
     def _find_reports(self) -> Iterator[dict]:
-        for name in CONTROL_SERVICES if self._box else ():
+        for name in CONTROL_SERVICES if self._container else ():
             try:
-                yield self._box.find(name).report()
+                yield self._container.find(name).report()
             except LookupError:
                 continue  # The service has not been created yet, or has stopped.
 
@@ -108,12 +108,12 @@
 
     Parameters
     ----------
-    box : Kernel, optional
+    container : Kernel, optional
         The kernel that starts this service; used to find the services that count
         control traffic.
     """
 
-    def __init__(self, box: kernel.Kernel | None = None) -> None:
+    def __init__(self, container: kernel.Kernel | None = None) -> None:
         self.registry = prometheus_client.CollectorRegistry()
         self._pairs: dict[tuple[str, str], tuple[str, str]] = {}
         self._servers: set[str] = set()
@@ -177,7 +177,7 @@
             "Requests under which servers crashed, by standing.",
             ["standing"],
         )
-        self.registry.register(ControlTraffic(box))
+        self.registry.register(ControlTraffic(container))
 
     def start(self) -> None:
         """Do nothing: the metrics are created by the constructor."""
--- a/celeryspan/services/caller.py
+++ b/celeryspan/services/caller.py
@@ -58,14 +58,14 @@
         Whether this router omits its own address from ``/v1/addresses``.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self.settings: settings.Settings = box.settings
-        self.claims: claims.Claims = box.find("claims")
-        self.requests: requests.Requests = box.find("requests")
-        self.configuration = box.find("configuration")
-        self.membership = box.find("membership")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self.settings: settings.Settings = container.settings
+        self.claims: claims.Claims = container.find("claims")
+        self.requests: requests.Requests = container.find("requests")
+        self.configuration = container.find("configuration")
+        self.membership = container.find("membership")
         self.draining = False
-        self._box = box
+        self._container = container
         self.in_progress: set[exchange.Exchange] = set()
         self._random = random.Random(f"{self.settings.router} {time.time_ns()}")
         self._lock = threading.Lock()
@@ -181,14 +181,16 @@
             {
                 "router": self.settings.router,
                 "data_centre": self.settings.data_centre,
-                "services": self._box.collect_reports(),
+                "services": self._container.collect_reports(),
             }
         )
 
     def begin_drain(self, http_exchange: exchange.Exchange) -> object:
         """Start a graceful stop in the background."""
         operators.check_operator_key(http_exchange, self.settings)
-        threading.Thread(target=self._box.find("drain").begin, name="drain").start()
+        threading.Thread(
+            target=self._container.find("drain").begin, name="drain"
+        ).start()
         answers.set_outcome(http_exchange.request, states.Outcome.RAN)
         cherrypy.response.status = 202
         return answers.write_json({"draining": True})
@@ -197,7 +199,7 @@
         """Return the metrics in the Prometheus text format."""
         answers.set_outcome(http_exchange.request, states.Outcome.RAN)
         cherrypy.response.headers["Content-Type"] = metrics.CONTENT_TYPE
-        return self._box.find("metrics").render()
+        return self._container.find("metrics").render()
 
     def _track(self, http_exchange: exchange.Exchange) -> None:
         with self._lock:
--- a/celeryspan/services/configuration.py
+++ b/celeryspan/services/configuration.py
@@ -42,11 +42,11 @@
 class ConfigurationService:
     """Holds the applied configuration; takes newer ones from the store and peers."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._store: store.StoreService = box.find("store")
-        self._links: links.LinksService = box.find("links")
-        self._membership: membership.MembershipService = box.find("membership")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._store: store.StoreService = container.find("store")
+        self._links: links.LinksService = container.find("links")
+        self._membership: membership.MembershipService = container.find("membership")
         self._random = random.Random(self._identity.incarnation)
         self._generations = generations.Generations()
         self._current: configuration.Configuration | None = None
--- a/celeryspan/services/datagrams.py
+++ b/celeryspan/services/datagrams.py
@@ -23,10 +23,10 @@
 class DatagramsService:
     """Sends and receives frames in datagrams, each prefixed with a keyed hash."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._keys = box.settings.fleet_keys
-        self._address = ids.Address.parse(box.settings.peer_address)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._keys = container.settings.fleet_keys
+        self._address = ids.Address.parse(container.settings.peer_address)
         self._traffic = traffic.Traffic()
         self._handlers: list[Handler] = []
         self._sequence = 0
--- a/celeryspan/services/drain.py
+++ b/celeryspan/services/drain.py
@@ -33,11 +33,11 @@
         Set once the process may exit; setting it ends the drain at once.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._settings: settings.Settings = box.settings
-        self._caller: caller.Caller = box.find("caller")
-        self._membership: membership.Membership = box.find("membership")
-        self._configuration = box.find("configuration")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._settings: settings.Settings = container.settings
+        self._caller: caller.Caller = container.find("caller")
+        self._membership: membership.Membership = container.find("membership")
+        self._configuration = container.find("configuration")
         self._lock = threading.Lock()
         self._began_at = 0.0
         self.finished = threading.Event()
--- a/celeryspan/services/identity.py
+++ b/celeryspan/services/identity.py
@@ -20,8 +20,8 @@
         clock distinguishes a restarted router from its predecessor.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self.router = ids.RouterId(box.settings.router)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self.router = ids.RouterId(container.settings.router)
         self.incarnation = ids.Incarnation(time.time_ns() // 1000)
 
     def start(self) -> None:
--- a/celeryspan/services/links.py
+++ b/celeryspan/services/links.py
@@ -49,10 +49,10 @@
 class LinksService:
     """Sends messages to peers over links that open on demand and close when idle."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._keys = box.settings.fleet_keys
-        self._address = ids.Address.parse(box.settings.peer_address)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._keys = container.settings.fleet_keys
+        self._address = ids.Address.parse(container.settings.peer_address)
         self._random = random.Random(self._identity.incarnation)
         self._traffic = traffic.Traffic()
         self._lock = threading.Lock()
--- a/celeryspan/services/membership.py
+++ b/celeryspan/services/membership.py
@@ -35,13 +35,15 @@
 class MembershipService:
     """Runs the membership protocol over datagrams, and full exchanges over links."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._datagrams: datagrams.DatagramsService = box.find("datagrams")
-        self._links: links.LinksService = box.find("links")
-        self._settings_seeds = [ids.Address.parse(peer) for peer in box.settings.peers]
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._datagrams: datagrams.DatagramsService = container.find("datagrams")
+        self._links: links.LinksService = container.find("links")
+        self._settings_seeds = [
+            ids.Address.parse(peer) for peer in container.settings.peers
+        ]
         self._decision = membership.Membership(
-            self._make_own_member(box.settings),
+            self._make_own_member(container.settings),
             random.Random(self._identity.incarnation),
         )
         self._decision.set_seeds(self._settings_seeds)
--- a/celeryspan/services/requests.py
+++ b/celeryspan/services/requests.py
@@ -28,13 +28,13 @@
 class Requests:
     """Runs calls on backend servers."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._dispatch: dispatch.Dispatcher = box.find("dispatch")
-        self._backends: backends.BackendConnections = box.find("backends")
-        self._meters: metrics.Metrics = box.find("metrics")
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._dispatch: dispatch.Dispatcher = container.find("dispatch")
+        self._backends: backends.BackendConnections = container.find("backends")
+        self._meters: metrics.Metrics = container.find("metrics")
         self.sleep = time.sleep
         self._retries = retries.RetryPolicy()
-        self._random = random.Random(f"{box.settings.router} {time.time_ns()}")
+        self._random = random.Random(f"{container.settings.router} {time.time_ns()}")
         self._plain = backend.REGISTRY[states.ServiceKind.PLAIN]()
         self._model = backend.REGISTRY[states.ServiceKind.MODEL]()
 
--- a/celeryspan/services/store.py
+++ b/celeryspan/services/store.py
@@ -25,11 +25,11 @@
     Background calls (``background=True``) are also limited by the router's budget.
     """
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self.client = store.StoreClient(box.settings.store_address)
+    def __init__(self, container: kernel.Kernel) -> None:
+        self.client = store.StoreClient(container.settings.store_address)
         self._breaker = circuitbreaker.CircuitBreaker()
         self._budget = circuitbreaker.CallBudget()
-        self._random = random.Random(box.settings.router + str(time.time_ns()))
+        self._random = random.Random(container.settings.router + str(time.time_ns()))
         self._lock = threading.Lock()
         self._calls: collections.Counter[str] = collections.Counter()
 
--- a/celeryspan/services/vmlist.py
+++ b/celeryspan/services/vmlist.py
@@ -44,15 +44,15 @@
 class VMListService:
     """Holds the departures that this router knows of and gossips new ones."""
 
-    def __init__(self, box: kernel.Kernel) -> None:
-        self._identity: identity.IdentityService = box.find("identity")
-        self._datagrams: datagrams.DatagramsService = box.find("datagrams")
-        self._links: links.LinksService = box.find("links")
-        self._membership: membership.MembershipService = box.find("membership")
-        self._configuration: configuration.ConfigurationService = box.find(
+    def __init__(self, container: kernel.Kernel) -> None:
+        self._identity: identity.IdentityService = container.find("identity")
+        self._datagrams: datagrams.DatagramsService = container.find("datagrams")
+        self._links: links.LinksService = container.find("links")
+        self._membership: membership.MembershipService = container.find("membership")
+        self._configuration: configuration.ConfigurationService = container.find(
             "configuration"
         )
-        self._client = vmlist.VMListClient(box.settings.store_address)
+        self._client = vmlist.VMListClient(container.settings.store_address)
         self._departures = departures.Departures()
         self._leaving: frozenset[ids.ServerId] = frozenset()
         self._handlers: list[Handler] = []
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -52,9 +52,9 @@
         router = Router(name, str(self.store.address))
         self._stack.callback(router.stop)
         registered = set(self.store._objects["servers"])
-        wait_for(lambda: registered <= set(router.box.find("servers").usable()))
+        wait_for(lambda: registered <= set(router.container.find("servers").usable()))
         if self.store.find("config", "main"):
-            wait_for(lambda: router.box.find("catalogues").current() is not None)
+            wait_for(lambda: router.container.find("catalogues").current() is not None)
         return router
 
 
@@ -75,15 +75,15 @@
             grace_seconds=6.0,
         )
         gateway.import_services()
-        self.box = kernel.Kernel(self.settings)
-        self.box.start(gateway.SERVICES)
+        self.container = kernel.Kernel(self.settings)
+        self.container.start(gateway.SERVICES)
         self._stopped = False
 
     def stop(self) -> None:
         """Stop all services."""
         if not self._stopped:
             self._stopped = True
-            self.box.stop()
+            self.container.stop()
 
     def connect(self) -> http.client.HTTPConnection:
         """Return a connection to the address for callers."""
--- a/tests/gateway/test_carrier.py
+++ b/tests/gateway/test_carrier.py
@@ -126,7 +126,7 @@
     router = cluster.start_router()
     dead.stop()
     alive = cluster.add_server("gate-2")
-    support.wait_for(lambda: "gate-2" in router.box.find("servers").usable())
+    support.wait_for(lambda: "gate-2" in router.container.find("servers").usable())
     for number in range(4):
         assert router.call("/bookings/1", f"r{number}").status == 200
     assert len(alive.ran) == 4
@@ -188,7 +188,7 @@
     support.wait_for(lambda: server.ran)
     caller.close()
     support.wait_for(server.client_disconnected.is_set)
-    places = router.box.find("places")
+    places = router.container.find("places")
     support.wait_for(lambda: places.report()["held"] == 0)
 
 
@@ -200,7 +200,7 @@
     """
     server = cluster.add_server("gate-1")
     router = cluster.start_router()
-    front, carrier = router.box.find("front"), router.box.find("carrier")
+    front, carrier = router.container.find("front"), router.container.find("carrier")
     # Closed connections are not detected.
     front._server.close_watcher.add = lambda *_: None
     original_open, left = carrier._open_channel, threading.Event()
@@ -213,7 +213,7 @@
     caller = router.connect()
     headers = {"Host": support.HOST, "Celeryspan-Credential": support.KEY}
     caller.request("POST", "/bookings/1", body=b"", headers=headers)
-    places = router.box.find("places")
+    places = router.container.find("places")
     support.wait_for(lambda: places.report()["held"] == 1)
     caller.close()
     left.set()
@@ -229,7 +229,7 @@
     """
     server = cluster.add_server("gate-1")
     router = cluster.start_router()
-    channels = router.box.find("channels")
+    channels = router.container.find("channels")
     original_open = channels.open
 
     def open_late(entry, *, at_most_once):
@@ -269,7 +269,7 @@
     request_thread.start()
     support.wait_for(lambda: first.received)
     second = cluster.add_server("gpu-2", "planner", born=1_500)
-    support.wait_for(lambda: "gpu-2" in router.box.find("servers").usable())
+    support.wait_for(lambda: "gpu-2" in router.container.find("servers").usable())
     cluster.register_server(first, "planner", born=2_000)
     request_thread.join(timeout=support.WAIT_SECONDS)
     assert answers and answers[0].status == 200
@@ -284,7 +284,7 @@
     """
     first = cluster.add_server("gpu-1", "planner", born=1_000)
     router = cluster.start_router()
-    usable = router.box.find("servers").usable
+    usable = router.container.find("servers").usable
     first.script.append("silent")
     answers = []
     headers = {"Celeryspan-Deadline-Ms": "60000", "Celeryspan-Token-Count": "90,6"}
@@ -308,7 +308,7 @@
     other = cluster.add_server("gate-2")
     router = cluster.start_router()
     cluster.store.put("servers", "gate-1", {"service": "gate", "address": 7})
-    usable = router.box.find("servers").usable
+    usable = router.container.find("servers").usable
     support.wait_for(lambda: set(usable()) == {"gate-2"})
     for number in range(4):
         assert router.call("/calls/1", f"r{number}").status == 200
@@ -324,7 +324,7 @@
     """
     server = cluster.add_server("planner-1", "planner")
     router = cluster.start_router()
-    watch = router.box.find("front")._server.close_watcher
+    watch = router.container.find("front")._server.close_watcher
     abort_callbacks = []
     add = watch.add
     watch.add = lambda sock, callback: (
@@ -338,7 +338,7 @@
     # The connection returns to the pool after the answer was read. The router lists the
     # engine's cached prompt parts on a separate connection.
     support.wait_for(
-        lambda: router.box.find("channels")._idle_by_age and server.list_calls
+        lambda: router.container.find("channels")._idle_by_age and server.list_calls
     )
     connections = server.connections
     server.event_seconds = 0.2
--- a/tests/gateway/test_catalogues.py
+++ b/tests/gateway/test_catalogues.py
@@ -12,7 +12,7 @@
 
 def find_version(router: support.Router) -> int:
     """Return the configuration version in force on a router."""
-    return router.box.find("catalogues").current().version
+    return router.container.find("catalogues").current().version
 
 
 def test_configuration_change_in_the_store_is_applied(cluster) -> None:
@@ -41,7 +41,7 @@
     If it were applied, the router would serve a removed route again.
     """
     router = cluster.start_router()
-    service = router.box.find("catalogues")
+    service = router.container.find("catalogues")
     newest = service.current()
     old = storedobjects.StoredObject(
         "main", newest.revision - 1, support.make_configuration(99), None, False
@@ -67,7 +67,7 @@
     router = cluster.start_router()
     cluster.store.remove("servers", "gate-1")
     cluster.store.compact()
-    servers = router.box.find("servers")
+    servers = router.container.find("servers")
     support.wait_for(lambda: set(servers.usable()) == {ids.ServerId("gate-2")})
 
 
@@ -79,8 +79,8 @@
     cluster.add_server("gate-1")
     first = cluster.start_router("edge-1")
     second = cluster.start_router("edge-2")
-    support.wait_for(lambda: len(second.box.find("membership").alive()) == 2)
-    second.box.find("catalogues")._follower.stop()
+    support.wait_for(lambda: len(second.container.find("membership").alive()) == 2)
+    second.container.find("catalogues")._follower.stop()
     cluster.store.put("config", "main", support.make_configuration(2))
     support.wait_for(lambda: find_version(first) == 2)
     support.wait_for(lambda: find_version(second) == 2)
@@ -91,7 +91,7 @@
     staying = cluster.add_server("gate-2")
     router = cluster.start_router()
     cluster.register_server(leaving, "gate", state="draining")
-    servers = router.box.find("servers")
+    servers = router.container.find("servers")
     support.wait_for(lambda: set(servers.usable()) == {ids.ServerId("gate-2")})
     for number in range(4):
         assert router.call("/bookings/1", f"r{number}").status == 200
@@ -108,7 +108,7 @@
     leaving = cluster.add_server("gate-1")
     cluster.add_server("gate-2")
     routers = [cluster.start_router(f"edge-{number}") for number in range(4)]
-    all_followers = [router.box.find("servers")._follower for router in routers]
+    all_followers = [router.container.find("servers")._follower for router in routers]
 
     def is_idle(follower: followers.Follower) -> bool:
         """Whether a follower gets fresh reports, and its own last watch is over."""
@@ -122,7 +122,7 @@
     cluster.register_server(leaving, "gate", state="draining")
     cluster.store.put("config", "main", support.make_configuration(2))
     staying = {ids.ServerId("gate-2")}
-    lists = [router.box.find("servers") for router in routers]
+    lists = [router.container.find("servers") for router in routers]
     support.wait_for(lambda: all(set(each.usable()) == staying for each in lists))
     support.wait_for(lambda: {find_version(router) for router in routers} == {2})
     assert [follower._last_read_at for follower in others] == before
--- a/tests/gateway/test_crashwatch.py
+++ b/tests/gateway/test_crashwatch.py
@@ -62,7 +62,7 @@
     server.script.append(failure)
     router = cluster.start_router()
     assert router.call("/bookings/1").status == 502
-    watch = router.box.find("crashwatch")
+    watch = router.container.find("crashwatch")
     support.wait_for(lambda: not watch._probes)
     assert len(select(lines, events.Event.RUN_LOST)) == 1
     assert not select(lines, events.Event.SERVER_CRASHED)
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -38,7 +38,7 @@
     """
     server = cluster.add_server("gate-1")
     router = cluster.start_router()
-    front = router.box.find("front")
+    front = router.container.find("front")
     original_serve = front.serve
 
     def serve_late(request):
@@ -179,7 +179,7 @@
         cluster.add_server("gate-1")
         routers = [cluster.start_router(f"edge-{number}") for number in range(2)]
         for router in routers:
-            membership = router.box.find("membership")
+            membership = router.container.find("membership")
             support.wait_for(lambda found=membership: len(found.alive()) == 2)
             assert resolve(router) == set()
         cluster.store.put("config", "main", support.make_configuration())
@@ -195,8 +195,8 @@
     both = {first.settings.caller_address, second.settings.caller_address}
 
     support.wait_for(lambda: resolve(first) == both and resolve(second) == both)
-    second.box.find("directory").draining = True
-    second.box.find("membership").leave()
+    second.container.find("directory").draining = True
+    second.container.find("membership").leave()
     left = {first.settings.caller_address}
     support.wait_for(lambda: resolve(first) == left and resolve(second) == left)
     assert second.get(second.settings.ready_address, "/v1/readyz")[0] == 503
--- a/tests/gateway/test_keptparts.py
+++ b/tests/gateway/test_keptparts.py
@@ -9,7 +9,7 @@
 
 def find_cache(router: support.Router, server: str):
     """Return the home's model of one engine's cache."""
-    pool = router.box.find("poolhomes")._pools[POOL]
+    pool = router.container.find("poolhomes")._pools[POOL]
     return pool._placer._servers[server].cache
 
 
--- a/tests/gateway/test_migrations.py
+++ b/tests/gateway/test_migrations.py
@@ -40,14 +40,14 @@
         self._thread.start()
         support.wait_for(lambda: any(engine.ran for engine in engines))
         self.source, self.target = sorted(engines, key=lambda each: not each.ran)
-        found = self.router.box.find("places")
+        found = self.router.container.find("places")
         support.wait_for(lambda: getattr(found.find_slot("r1"), "is_begun", False))
 
     def request_migration(self) -> None:
         """Send the router the migration request of a home router."""
         move = messages.RunMove("r1", POOL, self.source.name, self.target.name)
-        own = self.router.box.find("identity").router
-        self.router.box.find("delivery").send(own, move)
+        own = self.router.container.find("identity").router
+        self.router.container.find("delivery").send(own, move)
 
     def finish(self) -> list[str]:
         """Wait for the end of the stream; returns the events' texts."""
@@ -57,7 +57,7 @@
 
     def count_runs(self) -> int:
         """Return the number of places that the home router counts as occupied."""
-        return self.router.box.find("poolhomes").report()[POOL]["runs"]
+        return self.router.container.find("poolhomes").report()[POOL]["runs"]
 
     def _ask(self, path: str) -> None:
         headers = {
--- a/tests/gateway/test_quarantines.py
+++ b/tests/gateway/test_quarantines.py
@@ -22,12 +22,12 @@
 def find_standing(router: support.Router, body: bytes, path: str = "/bookings/1"):
     """Return the standing of a request at a router."""
     whole = compute_fingerprint(router, body, path).whole
-    return router.box.find("quarantine")._quarantine.find_standing(whole)
+    return router.container.find("quarantine")._quarantine.find_standing(whole)
 
 
 def compute_fingerprint(router: support.Router, body: bytes, path: str = "/bookings/1"):
     """Return the fingerprint of a request of the test account."""
-    return router.box.find("crashwatch")._fingerprinter.compute(
+    return router.container.find("crashwatch")._fingerprinter.compute(
         support.HOST, path.encode(), support.ACCOUNT, "POST", body
     )
 
@@ -43,13 +43,13 @@
         for n in range(1, crashes + 1)
     )
     suspect = messages.Suspect(found.scope, found.whole, 0, strikes)
-    router.box.find("quarantine").merge([suspect])
+    router.container.find("quarantine").merge([suspect])
 
 
 def start_fleet(cluster: support.Cluster, count: int = 2) -> list[support.Router]:
     """Start routers and wait until each lists all others as alive."""
     routers = [cluster.start_router(f"edge-{index}") for index in range(count)]
-    found = [router.box.find("membership") for router in routers]
+    found = [router.container.find("membership") for router in routers]
     support.wait_for(lambda: all(len(each.alive()) == count for each in found))
     return routers
 
@@ -91,7 +91,7 @@
     first = cluster.start_router("edge-1")
     support.wait_for(lambda: cluster.store.find("celeryspan-routers", "edge-1"))
     second = cluster.start_router("edge-2")
-    support.wait_for(lambda: len(second.box.find("membership").alive()) == 2)
+    support.wait_for(lambda: len(second.container.find("membership").alive()) == 2)
     cluster.store.faults.silent = True
     add_strikes(first, FATAL, 3)
     support.wait_for(lambda: find_standing(second, FATAL) is Standing.QUARANTINED)
@@ -102,13 +102,13 @@
     """Guards against a router that missed updates while it was partitioned."""
     cluster.add_server("gate-1")
     routers = start_fleet(cluster)
-    partitioned = routers[1].box.find("quarantine")
+    partitioned = routers[1].container.find("quarantine")
     handle_frame, partitioned._handle_frame = partitioned._handle_frame, lambda *_: None
-    handlers = routers[1].box.find("datagrams")._handlers
+    handlers = routers[1].container.find("datagrams")._handlers
     index = handlers.index(handle_frame)
     handlers[index] = lambda *_: None
     add_strikes(routers[0], FATAL, 3)
-    support.wait_for(lambda: not routers[0].box.find("quarantine")._gossip)
+    support.wait_for(lambda: not routers[0].container.find("quarantine")._gossip)
     assert find_standing(routers[1], FATAL) is Standing.CLEAR
     handlers[index] = handle_frame
     support.wait_for(lambda: find_standing(routers[1], FATAL) is Standing.QUARANTINED)
@@ -143,7 +143,7 @@
     cluster.add_server("gate-1")
     routers = start_fleet(cluster, 3)
     add_strikes(routers[0], FATAL, 2)
-    services = [router.box.find("quarantine") for router in routers]
+    services = [router.container.find("quarantine") for router in routers]
     support.wait_for(
         lambda: all(each.digest == services[0].digest for each in services)
     )
@@ -159,7 +159,7 @@
     """Guards against two contradictory facts that the fleet gossips for ever."""
     cluster.add_server("gate-1")
     router = cluster.start_router()
-    service = router.box.find("quarantine")
+    service = router.container.find("quarantine")
     service.record_stored(messages.SuspectsStored(1, 20))
     service.record_stored(messages.SuspectsStored(2, 10))
     assert service.stored == messages.SuspectsStored(1, 20)
@@ -171,7 +171,7 @@
     cluster.store.put("celeryspan-quarantine", "main", {"requests": [{"what": 1}]})
     router = cluster.start_router()
     add_strikes(router, FATAL, 3)
-    service = router.box.find("quarantine")
+    service = router.container.find("quarantine")
     support.wait_for(lambda: service.stored.digest == service.digest)
     (row,) = cluster.store.find("celeryspan-quarantine", "main")["spec"]["requests"]
     assert row["fingerprint"] == str(compute_fingerprint(router, FATAL))
@@ -204,7 +204,7 @@
     support.wait_for(lambda: server.ran == ["r1"])
     waiting = threading.Thread(target=call, args=("r2",))
     waiting.start()
-    support.wait_for(lambda: router.box.find("places").report()["waiting"] == 1)
+    support.wait_for(lambda: router.container.find("places").report()["waiting"] == 1)
     add_strikes(router, FATAL, 3)
     waiting.join()
     assert [answer.status for answer in answers] == [429]
@@ -254,7 +254,7 @@
         busy.crash()
         bystander.join()
         support.wait_for(
-            lambda: len(router.box.find("quarantine").list_suspects()) == 1
+            lambda: len(router.container.find("quarantine").list_suspects()) == 1
         )
         # The first answer may have ended before the crash was known.
         assert router.call("/drafts/2", "r2", body=b"innocent").status == 200
@@ -269,7 +269,7 @@
     """Guards against hashing every request for the sake of very few suspects."""
     cluster.add_server("gate-1")
     router = cluster.start_router()
-    crash_watch = router.box.find("crashwatch")
+    crash_watch = router.container.find("crashwatch")
     hashed: list[object] = []
     monkeypatch.setattr(crash_watch, "compute_scope", hashed.append)
     monkeypatch.setattr(crash_watch, "compute_fingerprint", hashed.append)
--- a/tests/gateway/test_quickrefusals.py
+++ b/tests/gateway/test_quickrefusals.py
@@ -133,7 +133,7 @@
     Each refusal occupied a thread, for which accepted requests had to wait.
     """
     router, _ = full_router
-    threads = router.box.find("front")._server.requests
+    threads = router.container.find("front")._server.requests
     passed_to_threads = []
     put = threads.put
     threads.put = lambda connection: (
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -19,9 +19,9 @@
     router = cluster.start_router()
     connection = router.connect()
     support.send_request(connection, "/notes/1")
-    stop = router.box.find("stopping")
+    stop = router.container.find("stopping")
     threading.Thread(target=stop.begin).start()
-    support.wait_for(lambda: router.box.find("front").draining)
+    support.wait_for(lambda: router.container.find("front").draining)
     answer = support.send_request(connection, "/notes/1", "r2")
     assert answer.status == 200
     assert answer.getheader("Connection") == "close"
@@ -38,8 +38,8 @@
     """
     server = cluster.add_server("planner-1", "planner")
     router = cluster.start_router()
-    front = router.box.find("front")
-    threading.Thread(target=router.box.find("stopping").begin).start()
+    front = router.container.find("front")
+    threading.Thread(target=router.container.find("stopping").begin).start()
     support.wait_for(lambda: front.refusing)
     answer = router.call("/notes/1")
     assert answer.status == 503
@@ -61,10 +61,10 @@
     cluster.add_server("gate-1")
     routers = [cluster.start_router(f"edge-{number}") for number in range(3)]
     for router in routers:
-        membership = router.box.find("membership")
+        membership = router.container.find("membership")
         support.wait_for(lambda found=membership: len(found.alive()) == 3)
     assert routers[0].call("/bookings/1").status == 200
-    home = next(r for r in routers if r.box.find("poolhomes").report())
+    home = next(r for r in routers if r.container.find("poolhomes").report())
     routers.remove(home)
     home.stop()
     for number, router in enumerate(routers):
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -214,14 +214,14 @@
         self.dispatch = fakes.Dispatch([ids.ServerId(name) for name in names])
         self.membership = fakes.Membership()
         self.store = store or fakes.Store()
-        self.box = kernel.Kernel(make_settings(**changes), self._make_registry())
-        self.box.start(["drain"])
-        self.caller: caller.Caller = self.box.find("caller")
-        self.drain: drain.Drain = self.box.find("drain")
+        self.container = kernel.Kernel(make_settings(**changes), self._make_registry())
+        self.container.start(["drain"])
+        self.caller: caller.Caller = self.container.find("caller")
+        self.drain: drain.Drain = self.container.find("drain")
         self.address = self.caller.address
 
     def close(self) -> None:
-        self.box.stop()
+        self.container.stop()
         for server in itertools.chain(self.gates, self.engines):
             server.close()
 
@@ -234,7 +234,7 @@
         }
         registry = dict(kernel.REGISTRY)
         for name, fake in fake_services.items():
-            registry[name] = kernel.Registration(lambda _box, fake=fake: fake, ())
+            registry[name] = kernel.Registration(lambda _container, fake=fake: fake, ())
         return registry
 
 
--- a/tests/services/test_configuration.py
+++ b/tests/services/test_configuration.py
@@ -23,15 +23,17 @@
         self.store = store.Store()
         self.store.start()
         self.client = store_adapter.StoreClient(str(self.store.address))
-        self.boxes: list[kernel.Kernel] = []
+        self.containers: list[kernel.Kernel] = []
 
     def start(self, name: str) -> kernel.Kernel:
-        peers = tuple(box.settings.peer_address for box in self.boxes[:1])
-        box = support.start_kernel(
+        peers = tuple(
+            container.settings.peer_address for container in self.containers[:1]
+        )
+        container = support.start_kernel(
             ["vmlist"], name, peers=peers, store_address=str(self.store.address)
         )
-        self.boxes.append(box)
-        return box
+        self.containers.append(container)
+        return container
 
     def publish(self, weight: float = 1.0) -> int:
         published = fleet_support.make_configuration(
@@ -44,12 +46,14 @@
         return written.generation
 
     def generations(self) -> set[int]:
-        values = [box.find("configuration").current() for box in self.boxes]
+        values = [
+            container.find("configuration").current() for container in self.containers
+        ]
         return {value.generation if value else 0 for value in values}
 
     def stop(self) -> None:
-        for box in self.boxes:
-            box.stop()
+        for container in self.containers:
+            container.stop()
         self.store.stop()
 
 
@@ -67,7 +71,10 @@
     support.wait_until(lambda: fleet.generations() == {1})
     support.wait_until(
         lambda: (
-            sum(box.find("configuration").report()["watches"] for box in fleet.boxes)
+            sum(
+                container.find("configuration").report()["watches"]
+                for container in fleet.containers
+            )
             == watchers.WATCHERS
         )
     )
@@ -90,10 +97,10 @@
 
 
 def test_router_without_any_generation_serves_nothing(fleet) -> None:
-    box = fleet.start("a")
+    container = fleet.start("a")
     time.sleep(0.3)
-    assert box.find("configuration").current() is None
-    assert box.find("configuration").report()["generation"] == 0
+    assert container.find("configuration").current() is None
+    assert container.find("configuration").report()["generation"] == 0
 
 
 def test_stale_store_reads_do_not_revert_the_generation(fleet) -> None:
@@ -104,9 +111,11 @@
     """
     fleet.publish()
     fleet.publish()
-    box = fleet.start("a")
+    container = fleet.start("a")
     support.wait_until(lambda: fleet.generations() == {2})
-    service: configuration_service.ConfigurationService = box.find("configuration")
+    service: configuration_service.ConfigurationService = container.find(
+        "configuration"
+    )
     fleet.store.control(stale_reads=5)
     service._read_store(0.0)
     assert service.current().generation == 2
@@ -129,11 +138,16 @@
 
 def test_server_reporting_itself_leaving_is_known_to_all(fleet) -> None:
     fleet.publish()
-    boxes = [fleet.start(name) for name in NAMES]
-    support.wait_until(lambda: len(boxes[0].find("membership").alive()) == len(NAMES))
-    boxes[3].find("vmlist").mark_leaving("server-1")
+    containers = [fleet.start(name) for name in NAMES]
     support.wait_until(
-        lambda: all(box.find("vmlist").leaving() == {"server-1"} for box in boxes)
+        lambda: len(containers[0].find("membership").alive()) == len(NAMES)
+    )
+    containers[3].find("vmlist").mark_leaving("server-1")
+    support.wait_until(
+        lambda: all(
+            container.find("vmlist").leaving() == {"server-1"}
+            for container in containers
+        )
     )
 
 
@@ -142,5 +156,5 @@
     fleet.store.set_vms(
         [{"name": "server-1", "address": "127.0.0.1:1", "state": "leaving"}]
     )
-    box = fleet.start("a")
-    support.wait_until(lambda: box.find("vmlist").leaving() == {"server-1"})
+    container = fleet.start("a")
+    support.wait_until(lambda: container.find("vmlist").leaving() == {"server-1"})
--- a/tests/services/test_links.py
+++ b/tests/services/test_links.py
@@ -17,25 +17,27 @@
     """Two routers with each other's address, and the messages the second received."""
 
     def __init__(self, keys: tuple[tuple[str, ...], tuple[str, ...]]) -> None:
-        self.boxes: list[kernel.Kernel] = []
+        self.containers: list[kernel.Kernel] = []
         self.received: list[messages.Message] = []
         for name, fleet_keys in zip(("a", "b"), keys, strict=True):
-            box = support.start_kernel(["links"], name, fleet_keys=fleet_keys)
-            self.boxes.append(box)
-        self.first, self.second = (box.find("links") for box in self.boxes)
-        self.first.set_address("b", support.peer_address(self.boxes[1]))
-        self.second.set_address("a", support.peer_address(self.boxes[0]))
+            container = support.start_kernel(["links"], name, fleet_keys=fleet_keys)
+            self.containers.append(container)
+        self.first, self.second = (
+            container.find("links") for container in self.containers
+        )
+        self.first.set_address("b", support.peer_address(self.containers[1]))
+        self.second.set_address("a", support.peer_address(self.containers[0]))
         for kind in (messages.Demand, messages.Grant, messages.Probe):
             self.second.subscribe(kind, self._record)
 
     def _record(self, peer: str, incarnation: int, message: messages.Message) -> None:
         assert peer == "a"
-        assert incarnation == self.boxes[0].find("identity").incarnation
+        assert incarnation == self.containers[0].find("identity").incarnation
         self.received.append(message)
 
     def stop(self) -> None:
-        for box in self.boxes:
-            box.stop()
+        for container in self.containers:
+            container.stop()
 
 
 @pytest.fixture
@@ -86,7 +88,7 @@
     """Guards against a port scanner or faulty sender that breaks the peer port."""
     pair = make_pair()
     generator = random.Random(6)
-    address = support.peer_address(pair.boxes[1])
+    address = support.peer_address(pair.containers[1])
     for size in (0, 1, 4, 5, 200, 5_000):
         with socket.create_connection(address) as channel:
             channel.sendall(generator.randbytes(size))
@@ -138,7 +140,7 @@
     monkeypatch.setattr(connections, "HEARTBEAT_INTERVAL_SECONDS", 0.1)
     monkeypatch.setattr(connections, "SILENCE_TIMEOUT_SECONDS", 0.35)
     pair = make_pair()
-    relay = Relay(support.peer_address(pair.boxes[1]))
+    relay = Relay(support.peer_address(pair.containers[1]))
     pair.first.set_address("b", ids.Address(*relay.address))
     pair.first.send("b", make_demand(3))
     support.wait_until(lambda: make_demand(3) in pair.received)
@@ -152,11 +154,11 @@
     pair = make_pair()
     pair.first.send("b", make_demand(1))
     support.wait_until(lambda: len(pair.received) == 1)
-    settings = pair.boxes[1].settings
-    pair.boxes[1].stop()
+    settings = pair.containers[1].settings
+    pair.containers[1].stop()
     restarted = kernel.Kernel(settings)
     restarted.start(["links"])
-    pair.boxes[1] = restarted
+    pair.containers[1] = restarted
     restarted.find("links").subscribe(messages.Demand, pair._record)
     pair.first.send("b", make_demand(2))
     support.wait_until(lambda: make_demand(2) in pair.received)
--- a/tests/services/test_membership.py
+++ b/tests/services/test_membership.py
@@ -16,39 +16,45 @@
 
 @pytest.fixture
 def fleet():
-    boxes: list[kernel.Kernel] = []
+    containers: list[kernel.Kernel] = []
 
     def start(name: str, **fields: object) -> kernel.Kernel:
-        peers = tuple(box.settings.peer_address for box in boxes[:1])
+        peers = tuple(container.settings.peer_address for container in containers[:1])
         fields = {"peers": peers, **fields}
-        boxes.append(support.start_kernel(["membership"], name, **fields))
-        return boxes[-1]
+        containers.append(support.start_kernel(["membership"], name, **fields))
+        return containers[-1]
 
     yield start
-    for box in boxes:
-        box.stop()
+    for container in containers:
+        container.stop()
 
 
-def names(box: kernel.Kernel) -> set[str]:
-    members = box.find("membership").alive()
+def names(container: kernel.Kernel) -> set[str]:
+    members = container.find("membership").alive()
     return {member.router for member in members if member.state in membertable.PRESENT}
 
 
 def test_routers_discover_each_other_through_one_seed(fleet) -> None:
-    boxes = [fleet(name) for name in "abcd"]
-    for box in boxes:
-        support.wait_until(lambda box=box: names(box) == set("abcd"))
+    containers = [fleet(name) for name in "abcd"]
+    for container in containers:
+        support.wait_until(lambda container=container: names(container) == set("abcd"))
 
 
 def test_leaving_router_is_not_present_and_is_dead_after_its_stop(fleet) -> None:
-    boxes = [fleet(name) for name in "abc"]
-    support.wait_until(lambda: all(names(box) == set("abc") for box in boxes))
-    leaving = boxes[2].find("membership")
+    containers = [fleet(name) for name in "abc"]
+    support.wait_until(
+        lambda: all(names(container) == set("abc") for container in containers)
+    )
+    leaving = containers[2].find("membership")
     leaving.leave()
-    support.wait_until(lambda: all(names(box) == set("ab") for box in boxes))
-    boxes[2].stop()
     support.wait_until(
-        lambda: boxes[0].find("membership").find("c").state is states.MemberState.DEAD
+        lambda: all(names(container) == set("ab") for container in containers)
+    )
+    containers[2].stop()
+    support.wait_until(
+        lambda: (
+            containers[0].find("membership").find("c").state is states.MemberState.DEAD
+        )
     )
 
 
--- a/tests/services/test_requests.py
+++ b/tests/services/test_requests.py
@@ -117,10 +117,10 @@
 
 
 def make_service(faulty: FaultyBackends, dispatch: Dispatch) -> requests.Requests:
-    box = kernel.Kernel(scripted.make_settings(), {})
+    container = kernel.Kernel(scripted.make_settings(), {})
     services = {"dispatch": dispatch, "backends": faulty, "metrics": METERS}
-    box._services = services
-    service = requests.Requests(box)
+    container._services = services
+    service = requests.Requests(container)
     service.sleep = lambda seconds: None
     service._plain = faulty
     return service
--- a/tests/services/test_store_outages.py
+++ b/tests/services/test_store_outages.py
@@ -27,9 +27,11 @@
 
 @pytest.fixture
 def service(store_standin):
-    box = support.start_kernel(["store"], "a", store_address=str(store_standin.address))
-    yield box.find("store")
-    box.stop()
+    container = support.start_kernel(
+        ["store"], "a", store_address=str(store_standin.address)
+    )
+    yield container.find("store")
+    container.stop()
 
 
 def count_calls(store_standin: store.Store) -> int:
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -12,7 +12,7 @@
 
     def make(name: str) -> type:
         class Recorder:
-            def __init__(self, _kernel: kernel.Kernel) -> None:
+            def __init__(self, _container: kernel.Kernel) -> None:
                 pass
 
             def start(self) -> None:
@@ -31,15 +31,15 @@
 
 def test_starts_in_dependency_order_and_stops_in_reverse() -> None:
     trace: list[str] = []
-    box = kernel.Kernel(None, make_registry(trace))
-    box.start(["c"])
-    box.stop()
+    container = kernel.Kernel(None, make_registry(trace))
+    container.start(["c"])
+    container.stop()
     assert trace == ["start a", "start b", "start c", "stop c", "stop b", "stop a"]
 
 
 def test_failed_start_names_the_service_and_stops_the_others() -> None:
     trace: list[str] = []
-    box = kernel.Kernel(None, make_registry(trace, failing="b"))
+    container = kernel.Kernel(None, make_registry(trace, failing="b"))
     with pytest.raises(errors.StartError, match=r"'b'.*address in use"):
-        box.start(["c"])
+        container.start(["c"])
     assert trace == ["start a", "stop a"]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -45,7 +45,7 @@
 class TrafficReporter:
     """A service with the same traffic report as links and datagrams."""
 
-    def __init__(self, _box: kernel.Kernel) -> None:
+    def __init__(self, _container: kernel.Kernel) -> None:
         pass
 
     def start(self) -> None:
@@ -63,11 +63,11 @@
     names = ("links", "datagrams")
     made = {name: kernel.Registration(TrafficReporter, ()) for name in names}
     made["metrics"] = kernel.Registration(metrics.Metrics, ())
-    box = kernel.Kernel(None, made)
-    box.start(["metrics"])
-    assert b"celeryspan_control_bytes_total{" not in box.find("metrics").render()
-    box.start(["links", "datagrams"])
-    text = box.find("metrics").render().decode()
+    container = kernel.Kernel(None, made)
+    container.start(["metrics"])
+    assert b"celeryspan_control_bytes_total{" not in container.find("metrics").render()
+    container.start(["links", "datagrams"])
+    text = container.find("metrics").render().decode()
     assert 'celeryspan_control_bytes_total{direction="out",kind="grant"} 80.0' in text
     assert 'celeryspan_control_messages_total{direction="in",kind="probe"} 4.0' in text
 
