--- a/bench/engines/__init__.py
+++ b/bench/engines/__init__.py
@@ -1,5 +1,5 @@
-"""An emulator of model engines on a virtual clock, and trials of placing on it.
+"""An emulator of inference engines on a virtual clock, to compare placement policies.
 
-``make bench NAME=engines`` plays the deployments and loads of ``sites/*.yaml`` and
-prints what callers get.
+``make bench NAME=placing`` replays the deployments and loads of ``sites/*.yaml`` and
+prints the latency and the refusals that callers see.
 """
--- a/bench/engines/engine.py
+++ b/bench/engines/engine.py
@@ -1,4 +1,4 @@
-"""One model engine: each step reads a chunk of prompts and makes a token a run."""
+"""One emulated engine: each step prefills a chunk and decodes a token for each run."""
 
 from __future__ import annotations
 
@@ -17,152 +17,169 @@
 
     Attributes
     ----------
-    unread, context : int
-        Tokens still to be read, and tokens in memory.
-    made : int
-        Tokens made so far.
+    output_tokens : int
+        Number of tokens after which the answer ends.
+    remaining_prompt_tokens, context_tokens : int
+        Tokens still to be prefilled, and tokens in the KV cache of the run.
+    generated_tokens : int
+        Tokens decoded so far.
+    prefilled_tokens, recomputed_tokens : int
+        Tokens that were not cached at this engine, and those in parts that some engine
+        had already prefilled.
     events : list of float
-        Times at which events came.
+        Times at which events were emitted.
     """
 
     ask: messages.SlotRequest
-    tokens: int
-    unread: int
-    context: int
-    made: int = 0
-    read: int = 0
-    read_again: int = 0
+    output_tokens: int
+    remaining_prompt_tokens: int
+    context_tokens: int
+    generated_tokens: int = 0
+    prefilled_tokens: int = 0
+    recomputed_tokens: int = 0
     started: float = 0.0
     engine: ids.ServerId | None = None
     events: list[float] = dataclasses.field(default_factory=list)
 
 
 class Engine:
-    """Runs jobs step by step; the caller keeps the clock.
+    """Runs jobs step by step; the caller advances the clock.
 
     Attributes
     ----------
-    reads : list of (time, seconds)
-        Reading done in each step that read anything.
+    prefills : list of (time, seconds)
+        End and prefill time of each step that prefilled anything.
     runs : int
-        Jobs that have begun.
+        Number of jobs started or resumed here.
+    next_step_at : float or None
+        End of the last step, when the next one starts; None if the engine is idle.
     """
 
-    def __init__(self, name: ids.ServerId, place: site.Site, speed: float) -> None:
+    def __init__(
+        self, name: ids.ServerId, deployment: site.Site, slowdown: float
+    ) -> None:
         self.name = name
-        self.reads: list[tuple[float, float]] = []
+        self.prefills: list[tuple[float, float]] = []
         self.runs = 0
-        self.next_at: float | None = None
-        self._site = place
-        self._speed = speed
-        self._reading: collections.deque[Job] = collections.deque()
-        self._making: list[Job] = []
-        self._kept: collections.OrderedDict[str, int] = collections.OrderedDict()
-        self._kept_tokens = 0
-
-    def count_kept(self, parts: Sequence[messages.PromptPart]) -> int:
-        """Return how many of the leading parts are kept."""
-        kept = 0
+        self.next_step_at: float | None = None
+        self._site = deployment
+        self._slowdown = slowdown
+        self._prefilling: collections.deque[Job] = collections.deque()
+        self._decoding: list[Job] = []
+        self._cache: collections.OrderedDict[str, int] = collections.OrderedDict()
+        self._cached_tokens = 0
+
+    def count_cached(self, parts: Sequence[messages.PromptPart]) -> int:
+        """Return how many of the leading parts are cached."""
+        count = 0
         for part in parts:
-            if part.part not in self._kept:
+            if part.part not in self._cache:
                 break
-            kept += 1
-        return kept
+            count += 1
+        return count
 
-    def take_parts(self, parts: Sequence[messages.PromptPart]) -> None:
-        """Keep parts that were copied from another engine."""
+    def cache_parts(self, parts: Sequence[messages.PromptPart]) -> None:
+        """Add parts to the prefix cache, the last one as the least recently used."""
         for part in reversed(parts):
-            self._kept_tokens += part.tokens - self._kept.pop(part.part, 0)
-            self._kept[part.part] = part.tokens
+            self._cached_tokens += part.tokens - self._cache.pop(part.part, 0)
+            self._cache[part.part] = part.tokens
 
-    def add(self, job: Job, known: set[str], now: float) -> None:
-        """Admit a job; ``known`` are the parts that some engine has read."""
-        kept, again = 0, 0
-        is_chain = True
+    def add(self, job: Job, known_parts: set[str], now: float) -> None:
+        """Admit a job; ``known_parts`` are the parts that any engine has prefilled."""
+        cached, recomputed = 0, 0
+        is_prefix_cached = True
         for part in job.ask.parts:
-            is_chain = is_chain and part.part in self._kept
-            if is_chain:
-                kept += part.tokens
-                self._kept.move_to_end(part.part)
-            elif part.part in known:
-                again += part.tokens
-        job.unread = max(1, job.ask.prompt_tokens - kept)
-        job.context = kept
-        job.read, job.read_again = job.unread, again
+            is_prefix_cached = is_prefix_cached and part.part in self._cache
+            if is_prefix_cached:
+                cached += part.tokens
+                self._cache.move_to_end(part.part)
+            elif part.part in known_parts:
+                recomputed += part.tokens
+        job.remaining_prompt_tokens = max(1, job.ask.prompt_tokens - cached)
+        job.context_tokens = cached
+        job.prefilled_tokens = job.remaining_prompt_tokens
+        job.recomputed_tokens = recomputed
         job.started, job.engine = now, self.name
-        self._reading.append(job)
-        self.runs += 1
-        if self.next_at is None:
-            self.next_at = now
+        self._prefilling.append(job)
+        self._count_run(now)
 
-    def take_out(self, job: Job) -> bool:
-        """Stop a job that makes tokens; returns whether there was one."""
-        if job not in self._making:
+    def remove(self, job: Job) -> bool:
+        """Remove a job that is decoding; returns whether it was found."""
+        if job not in self._decoding:
             return False
-        self._making.remove(job)
+        self._decoding.remove(job)
         return True
 
-    def take_in(self, job: Job, now: float) -> None:
-        """Go on with a job that was read elsewhere."""
+    def resume(self, job: Job, now: float) -> None:
+        """Continue decoding a job that was prefilled at another engine."""
         job.engine = self.name
-        self._making.append(job)
-        self.runs += 1
-        if self.next_at is None:
-            self.next_at = now
+        self._decoding.append(job)
+        self._count_run(now)
 
-    def step(self, known: set[str]) -> tuple[list[Job], list[Job]]:
-        """Take one step; returns the jobs that made an event and those that ended."""
-        assert self.next_at is not None
+    def step(self, known_parts: set[str]) -> tuple[list[Job], list[Job]]:
+        """Run one step; returns the jobs that emitted an event and those that ended."""
+        assert self.next_step_at is not None
         seconds = self._site.step_seconds
-        seconds += self._site.step_run_seconds * len(self._making)
-        read, done = self._read_chunk()
-        seconds = (seconds + read) * self._speed
-        self.next_at += seconds
-        if read:
-            self.reads.append((self.next_at, read * self._speed))
-        spoke, ended = [], []
-        for job in list(self._making):
-            job.made += 1
-            job.context += 1
-            if job.made % self._site.stride == 0 or job.made >= job.tokens:
-                job.events.append(self.next_at)
-                spoke.append(job)
-            if job.made >= job.tokens:
-                self._making.remove(job)
+        seconds += self._site.step_run_seconds * len(self._decoding)
+        prefill_seconds, prefilled = self._prefill_chunk()
+        seconds = (seconds + prefill_seconds) * self._slowdown
+        self.next_step_at += seconds
+        if prefill_seconds:
+            self.prefills.append((self.next_step_at, prefill_seconds * self._slowdown))
+        emitted, ended = [], []
+        for job in list(self._decoding):
+            job.generated_tokens += 1
+            job.context_tokens += 1
+            is_last = job.generated_tokens >= job.output_tokens
+            if is_last or job.generated_tokens % self._site.stride == 0:
+                job.events.append(self.next_step_at)
+                emitted.append(job)
+            if is_last:
+                self._decoding.remove(job)
                 ended.append(job)
-        for job in done:
-            self._keep(job, known)
-            self._making.append(job)
-        if not self._making and not self._reading:
-            self.next_at = None
-        return spoke, ended
+        for job in prefilled:
+            self._cache_prompt(job, known_parts)
+            self._decoding.append(job)
+        if not self._decoding and not self._prefilling:
+            self.next_step_at = None
+        return emitted, ended
 
     def count(self) -> int:
-        """Return the jobs in progress."""
-        return len(self._reading) + len(self._making)
-
-    def _read_chunk(self) -> tuple[float, list[Job]]:
-        """Read up to a chunk of the prompts in order; returns time and ended ones."""
-        left, seconds, done = self._site.chunk_tokens, 0.0, []
-        while left and self._reading:
-            job = self._reading[0]
-            tokens = min(left, job.unread)
-            pairs = tokens * job.context + tokens * tokens / 2
+        """Return the number of jobs in progress."""
+        return len(self._prefilling) + len(self._decoding)
+
+    def _count_run(self, now: float) -> None:
+        self.runs += 1
+        if self.next_step_at is None:
+            self.next_step_at = now
+
+    def _prefill_chunk(self) -> tuple[float, list[Job]]:
+        """Prefill up to one chunk in order of arrival.
+
+        Returns the time that it takes and the jobs whose prompt is complete.
+        """
+        remaining, seconds, prefilled = self._site.chunk_tokens, 0.0, []
+        while remaining and self._prefilling:
+            job = self._prefilling[0]
+            tokens = min(remaining, job.remaining_prompt_tokens)
+            pairs = tokens * job.context_tokens + tokens * tokens / 2
             seconds += tokens * self._site.token_seconds
             seconds += pairs * self._site.pair_seconds
-            job.unread -= tokens
-            job.context += tokens
-            left -= tokens
-            if not job.unread:
-                done.append(self._reading.popleft())
-        return seconds, done
-
-    def _keep(self, job: Job, known: set[str]) -> None:
-        for part in reversed(job.ask.parts):
-            self._kept_tokens += part.tokens - self._kept.pop(part.part, 0)
-            self._kept[part.part] = part.tokens
-            known.add(part.part)
-        running = sum(each.context for each in (*self._making, *self._reading))
-        while self._kept and self._kept_tokens + running > self._site.memory_tokens:
-            _, tokens = self._kept.popitem(last=False)
-            self._kept_tokens -= tokens
+            job.remaining_prompt_tokens -= tokens
+            job.context_tokens += tokens
+            remaining -= tokens
+            if not job.remaining_prompt_tokens:
+                prefilled.append(self._prefilling.popleft())
+        return seconds, prefilled
+
+    def _cache_prompt(self, job: Job, known_parts: set[str]) -> None:
+        """Cache the parts of a prompt, then evict until the cache fits in memory."""
+        self.cache_parts(job.ask.parts)
+        known_parts.update(part.part for part in job.ask.parts)
+        running = sum(
+            each.context_tokens for each in (*self._decoding, *self._prefilling)
+        )
+        memory = self._site.memory_tokens
+        while self._cache and self._cached_tokens + running > memory:
+            _, tokens = self._cache.popitem(last=False)
+            self._cached_tokens -= tokens
--- a/bench/engines/loads.py
+++ b/bench/engines/loads.py
@@ -1,4 +1,4 @@
-"""Requests as they come: rates, bursts, heavy tails, shared and hot parts, accounts."""
+"""Generates arrivals: bursts, heavy-tailed prompts, shared and hot parts, accounts."""
 
 from __future__ import annotations
 
@@ -10,30 +10,39 @@
 from celeryspan import ids
 from celeryspan.wire import messages
 
-OWN_MAX = 54_000
-"""Longest part of a prompt that nobody shares, in tokens."""
+UNSHARED_TOKENS_MAX = 54_000
+"""Maximum length of the part of a prompt that no other request shares."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """One kind of request.
+    """The distribution of one kind of request; times are in seconds.
 
     Attributes
     ----------
     rate : float
-        Requests a second.
+        Requests per second.
+    objective, timeout, gap_max : float
+        Time to the first event on time, time after which a request fails, and longest
+        gap between events on time.
     shared : tuple of int
-        Tokens of the part that all share, and of the part of each subject.
+        Tokens of the part common to all requests, and of the part of each subject.
     subjects : int
-        Subjects that requests are about, all alike often.
+        Number of subjects, which are uniformly distributed.
     own, own_spread : float
-        Median of the tokens that nobody shares, and spread of their logarithm.
+        Median and standard deviation, of the logarithm, of the unshared tokens.
+    output : int
+        Mean of the output tokens, exponentially distributed.
     hot_share : float
-        Part of the requests that are about the first subject.
-    begins, ends : float
-        When the load lasts, in seconds.
-    held : float
-        How long each request waits at its router before the home is asked, in seconds.
+        Additional fraction of the requests that are about the first subject.
+    own_fixed : int
+        Fixed number of unshared tokens instead of the distribution; 0 for none.
+    first_subject : int
+        Number of the first subject; loads of one name share the subjects of one number.
+    starts_at, ends_at : float
+        Interval in which requests arrive.
+    router_wait : float
+        Time each request waits at its router before the pool's home receives it.
     """
 
     name: str
@@ -49,53 +58,54 @@
     accounts: tuple[str, ...] = ("a", "b", "c", "d")
     hot_share: float = 0.0
     own_fixed: int = 0
-    subjects_from: int = 0
+    first_subject: int = 0
     worth: float = 1.0
     late_worth: float = 0.5
-    begins: float = 0.0
-    ends: float = math.inf
-    held: float = 0.0
+    starts_at: float = 0.0
+    ends_at: float = math.inf
+    router_wait: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request, and how many tokens its answer really has."""
+    """One request and the number of output tokens that it generates."""
 
     at: float
     kind: str
     ask: messages.SlotRequest
-    tokens: int
+    output_tokens: int
 
 
-def merge(
-    parts: Iterable[Load], seconds: float, generator: random.Random
+def generate_arrivals(
+    mix: Iterable[Load], seconds: float, generator: random.Random
 ) -> list[Arrival]:
-    """Return the requests of some loads in the order of their arrival."""
-    found = []
-    for load in parts:
-        at = load.begins
+    """Return the requests of all loads in order of arrival."""
+    arrivals = []
+    for load in mix:
+        at = load.starts_at
         while True:
             at += generator.expovariate(load.rate)
-            if at >= min(seconds, load.ends):
+            if at >= min(seconds, load.ends_at):
                 break
-            found.append(_make_arrival(load, at, len(found), generator))
-    return sorted(found, key=lambda arrival: arrival.at)
+            arrivals.append(_make_arrival(load, at, len(arrivals), generator))
+    return sorted(arrivals, key=lambda arrival: arrival.at)
 
 
 def _make_arrival(
     load: Load, at: float, number: int, generator: random.Random
 ) -> Arrival:
     is_hot = generator.random() < load.hot_share
-    subject = load.subjects_from + (0 if is_hot else generator.randrange(load.subjects))
-    own = load.own_fixed or min(
-        OWN_MAX, int(load.own * math.exp(generator.gauss(0, load.own_spread))) + 1
+    subject = load.first_subject + (0 if is_hot else generator.randrange(load.subjects))
+    unshared = load.own_fixed or min(
+        UNSHARED_TOKENS_MAX,
+        int(load.own * math.exp(generator.gauss(0, load.own_spread))) + 1,
     )
     parts = (
         messages.PromptPart(f"{load.name}", load.shared[0]),
         messages.PromptPart(f"{load.name}-{subject}", load.shared[1]),
-        messages.PromptPart(f"{load.name}-own-{number}", own),
+        messages.PromptPart(f"{load.name}-own-{number}", unshared),
     )
-    tokens = max(1, int(generator.expovariate(1 / load.output)))
+    output_tokens = max(1, int(generator.expovariate(1 / load.output)))
     ask = messages.SlotRequest(
         request=ids.RequestId(f"{load.name}-{number}"),
         pool=ids.PoolId("engines#1#0"),
@@ -104,11 +114,11 @@
         parts=parts,
         prompt_tokens=sum(part.tokens for part in parts),
         output_tokens=load.output,
-        waited=load.held,
+        waited=load.router_wait,
         objective=load.objective,
         timeout=load.timeout,
         gap_max=load.gap_max,
         stride=1,
         excluded=(),
     )
-    return Arrival(at, load.name, ask, tokens)
+    return Arrival(at, load.name, ask, output_tokens)
--- a/bench/engines/site.py
+++ b/bench/engines/site.py
@@ -1,4 +1,4 @@
-"""A deployment as the emulator plays it."""
+"""A deployment of engines and the timing model of the emulator."""
 
 from __future__ import annotations
 
@@ -7,24 +7,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """Engines of one service.
+    """The engines of one service; times are in seconds.
 
     Attributes
     ----------
     slots : int
-        Requests that run at once at one engine.
+        Concurrent requests per engine.
     memory_tokens : int
-        Tokens of running requests and kept parts that fit together.
+        Tokens of running requests and cached parts that fit in an engine's memory.
     stride : int
-        Tokens in one event.
+        Tokens per event.
     slow : dict
-        Engines by index that take so many times as long.
+        Factors by which single engines are slower, by index.
+    message_seconds : float
+        One-way latency between a router and the home of the pool.
+    chunk_tokens : int
+        Tokens prefilled per step at most.
+    token_seconds, pair_seconds : float
+        Prefill time per token, and per pair of a token and an earlier one.
+    step_seconds, step_run_seconds : float
+        Fixed time of a step, and time per decoding run.
     moves, fetches : bool
-        Whether runs may move between engines, and kept parts be copied.
+        Whether runs may migrate between engines, and cached parts may be copied.
     move_seconds, move_token_seconds : float
-        To copy a run, and for each token that it has in memory.
-    message_seconds : float
-        Between a router and the home of the pool, one way.
+        Fixed time to copy a run or cached parts, and time per token copied.
     """
 
     engines: int
--- a/bench/engines/smallvms.py
+++ b/bench/engines/smallvms.py
@@ -1,8 +1,8 @@
-"""Plays requests to a pool whose home and callers' routers have little processor time.
+"""Simulates a pool whose home and routers run on VMs with little processor time.
 
-Beside the engines of :mod:`bench.engines.trial` each router is a VM whose processor
-does its work in the order in which it comes: reading requests, passing answers on, and
-the ledger of the pool at the router that is its home.
+In addition to the engines of :mod:`bench.engines.trial`, each router is a VM with a
+processor that handles work in order of arrival: reading requests, relaying answers,
+and the ledger of the pool at the router that is its home.
 """
 
 from __future__ import annotations
@@ -20,17 +20,19 @@
 SERVICE = ids.ServiceId("engines")
 
 READ_SECONDS = 0.001
-"""Of a core, to read a request and ask for a place."""
+"""Core time to read a request and ask for a slot."""
 
-PASS_SECONDS = 0.002
-"""Of a core, to send a request on and pass its answer on."""
+FORWARD_SECONDS = 0.002
+"""Core time to forward a request and relay its answer."""
 
 REFUSE_SECONDS = 0.00012
+"""Core time to refuse a request."""
+
 LEDGER_SECONDS = 0.0006
-"""Of a core, for each message to the home of a pool."""
+"""Core time per message to the home of a pool."""
 
-BACKLOG_SECONDS = 0.25
-"""Work that waits at a router beyond which it refuses what comes."""
+BACKLOG_SECONDS_MAX = 0.25
+"""A router with more queued work than this refuses new requests."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -39,107 +41,109 @@
 
     Attributes
     ----------
+    cores : float
+        Processor time per second that the VM gets, in cores.
     free_at : float
-        When all work that has come is done, in seconds.
+        Time at which all queued work is done.
     """
 
     cores: float
     free_at: float = 0.0
 
     def work(self, now: float, seconds: float) -> float:
-        """Take in work, in seconds of a core; returns when it is done."""
+        """Queue work, in seconds of one core; returns when it is done."""
         self.free_at = max(now, self.free_at) + seconds / self.cores
         return self.free_at
 
     def measure_backlog(self, now: float) -> float:
-        """Return how long new work waits, in seconds."""
+        """Return how long new work would wait, in seconds."""
         return max(0.0, self.free_at - now)
 
 
 class _SmallVms(trial.Trial):
-    """A trial in which each message takes processor time where it arrives."""
+    """A trial in which each message takes processor time at its receiver."""
 
     def __init__(
         self,
-        place: site.Site,
-        asked: Sequence[loads.Arrival],
+        deployment: site.Site,
+        arrivals: Sequence[loads.Arrival],
         seed: int,
         cores: Mapping[ids.RouterId, float],
         routers: Mapping[ids.AccountId, ids.RouterId],
     ) -> None:
-        super().__init__(place, asked, seed)
+        super().__init__(deployment, arrivals, seed)
         self._vms = {router: Vm(share) for router, share in cores.items()}
         self._routers = routers
         self._home = self._vms[find_home(cores)]
 
     def _do_ask(self, ask: messages.SlotRequest, now: float) -> None:
-        """Let the caller's router read the request, or refuse it."""
+        """Read the request at the caller's router, or refuse it under overload."""
         vm = self._vms[self._routers[ask.account]]
-        if vm.measure_backlog(now) > BACKLOG_SECONDS:
+        if vm.measure_backlog(now) > BACKLOG_SECONDS_MAX:
             vm.work(now, REFUSE_SECONDS)
             self._outcomes[ask.request].is_refused = True
             return
         read_at = vm.work(now, READ_SECONDS)
         waited = read_at - now + 2 * self._delay()
-        asked = msgspec.structs.replace(ask, waited=waited)
-        self._plan(read_at + self._delay(), "home", ("decide", asked))
+        delayed = msgspec.structs.replace(ask, waited=waited)
+        self._schedule(read_at + self._delay(), "home", ("decide", delayed))
 
     def _do_home(self, work: tuple[str, object], now: float) -> None:
-        """Let a message to the home wait for the home's processor."""
+        """Handle a message once the home's processor has time for it."""
         kind, value = work
-        self._plan(self._home.work(now, LEDGER_SECONDS), kind, value)
+        self._schedule(self._home.work(now, LEDGER_SECONDS), kind, value)
 
     def _do_decide(self, ask: messages.SlotRequest, now: float) -> None:
         router = self._routers[ask.account]
         self._send_answers(self._pool.ask(router, ask, now), now)
 
     def _send_answers(self, answers: Sequence[pools.Answer], now: float) -> None:
-        """Let the router pass a request on, and its answer, before the server gets it.
+        """Charge the router for forwarding and relaying before the request is sent.
 
-        Passing an answer on takes its time while the answer comes; here it is all taken
-        at once, which is the same for those that come after.
+        In reality the cost of relaying is spread over the answer. Charging it at once
+        delays later work by the same total.
         """
         for answer in answers:
             if isinstance(answer.message, messages.SlotOffer):
-                sent_at = self._vms[answer.router].work(now, PASS_SECONDS)
-                self._plan(sent_at + self._delay(), "start", answer.message)
+                sent_at = self._vms[answer.router].work(now, FORWARD_SECONDS)
+                self._schedule(sent_at + self._delay(), "start", answer.message)
             else:
                 self._outcomes[answer.message.request].is_refused = True
 
     def _do_begun(self, ask: messages.SlotRequest, now: float) -> None:
-        self._plan(now, "home", ("take_begun", ask))
+        self._schedule(now, "home", ("record_begun", ask))
 
     def _do_ended(self, ask: messages.SlotRequest, now: float) -> None:
-        self._plan(now, "home", ("take_ended", ask))
+        self._schedule(now, "home", ("record_ended", ask))
 
-    def _do_take_begun(self, ask: messages.SlotRequest, now: float) -> None:
+    def _do_record_begun(self, ask: messages.SlotRequest, now: float) -> None:
         super()._do_begun(ask, now)
 
-    def _do_take_ended(self, ask: messages.SlotRequest, now: float) -> None:
+    def _do_record_ended(self, ask: messages.SlotRequest, now: float) -> None:
         super()._do_ended(ask, now)
 
 
 def find_home(cores: Mapping[ids.RouterId, float]) -> ids.RouterId:
-    """Return the home of the pool."""
+    """Return the router that is the home of the pool."""
     return shards.find_homes(SERVICE, 1, tuple(cores), cores)[0]
 
 
 def play(
-    place: site.Site,
-    asked: Sequence[loads.Arrival],
+    deployment: site.Site,
+    arrivals: Sequence[loads.Arrival],
     *,
     cores: Mapping[ids.RouterId, float],
     routers: Mapping[ids.AccountId, ids.RouterId],
     seed: int = 0,
     until: float = 60.0,
 ) -> trial.Result:
-    """Play requests at a deployment; the same seed gives the same result.
+    """Simulate a deployment; deterministic for a given seed.
 
     Parameters
     ----------
     cores : mapping
-        The part of a core that each router has.
+        Cores that each router has; may be a fraction.
     routers : mapping
-        The router that all callers of an account use.
+        Router that all callers of an account use.
     """
-    return _SmallVms(place, asked, seed, cores, routers).play(until)
+    return _SmallVms(deployment, arrivals, seed, cores, routers).play(until)
--- a/bench/engines/trial.py
+++ b/bench/engines/trial.py
@@ -1,4 +1,4 @@
-"""Plays requests to the home of a pool and to emulated engines, on a virtual clock."""
+"""Simulates the home of a pool and emulated engines on a virtual clock."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from celeryspan.wire import messages
 
 TICK_SECONDS = 0.005
-"""As the routers' homes do."""
+"""Interval at which the home places waiting requests, as in the routers."""
 
-GIVE_UP_OBJECTIVES = 4.0
-GIVE_UP_SECONDS = 2.0
-"""Callers leave after the longer of the two without an event."""
+PATIENCE_OBJECTIVES = 4.0
+PATIENCE_SECONDS = 2.0
+"""Callers disconnect if the first event takes longer than the larger of the two."""
 
 ROUTER = ids.RouterId("router")
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What became of one request."""
+    """The outcome of one request."""
 
     arrival: loads.Arrival
     job: engine.Job | None = None
@@ -44,14 +44,14 @@
 
     @property
     def gap(self) -> float:
-        """Longest pause between events, in seconds."""
+        """Longest gap between events, in seconds."""
         events = self.job.events if self.job else []
         pairs = itertools.pairwise(events)
         return max((after - before for before, after in pairs), default=0.0)
 
     @property
     def in_time(self) -> bool:
-        """Whether the answer was whole and on time."""
+        """Whether the answer was complete and met its objectives."""
         ask = self.arrival.ask
         return (
             self.is_ended
@@ -61,14 +61,14 @@
         )
 
     @property
-    def gave_up(self) -> bool:
-        """Whether the caller left before a first event."""
-        limit = max(GIVE_UP_SECONDS, GIVE_UP_OBJECTIVES * self.arrival.ask.objective)
+    def is_abandoned(self) -> bool:
+        """Whether the caller disconnected before the first event."""
+        limit = max(PATIENCE_SECONDS, PATIENCE_OBJECTIVES * self.arrival.ask.objective)
         return not self.is_refused and (self.first is None or self.first > limit)
 
 
 class Result:
-    """What callers got, and what the engines did."""
+    """Latencies and refusals seen by callers, and the work done by the engines."""
 
     def __init__(
         self,
@@ -81,14 +81,14 @@
         self.outcomes = outcomes
         self.moved_tokens = moved_tokens
         self.fetched_tokens = fetched_tokens
-        self.asked = len(outcomes)
+        self.requests = len(outcomes)
         self.refused = sum(outcome.is_refused for outcome in outcomes)
-        self.gave_up = sum(outcome.gave_up for outcome in outcomes)
+        self.abandoned = sum(outcome.is_abandoned for outcome in outcomes)
         jobs = [outcome.job for outcome in outcomes if outcome.job]
-        self.read = sum(job.read for job in jobs)
-        self.read_again = sum(job.read_again for job in jobs)
+        self.prefilled_tokens = sum(job.prefilled_tokens for job in jobs)
+        self.recomputed_tokens = sum(job.recomputed_tokens for job in jobs)
         self.runs_by_engine = [each.runs for each in engines]
-        self.use = measure_use(jobs, engines, slots, outcomes)
+        self.utilisation = measure_utilisation(jobs, engines, slots, outcomes)
         self.tokens_by_account: collections.Counter[ids.AccountId] = (
             collections.Counter()
         )
@@ -102,28 +102,28 @@
         return [outcome for outcome in self.outcomes if outcome.arrival.kind == kind]
 
     def share_in_time(self, kind: str) -> float:
-        """Return the part of a kind that was answered on time."""
+        """Return the fraction of a kind that was answered on time."""
         found = self.find(kind)
         return sum(outcome.in_time for outcome in found) / max(1, len(found))
 
     def share_served(self, kind: str) -> float:
-        """Return the part of a kind that was answered."""
+        """Return the fraction of a kind that was answered."""
         found = self.find(kind)
         return sum(outcome.is_ended for outcome in found) / max(1, len(found))
 
     def share_of_served_in_time(self, kind: str) -> float:
-        """Return the part of the answered ones that were on time."""
+        """Return the fraction of the answered requests that were on time."""
         found = [outcome for outcome in self.find(kind) if outcome.is_ended]
         return sum(outcome.in_time for outcome in found) / max(1, len(found))
 
-    def late_by_pause(self, kind: str) -> float:
-        """Return the part of a kind whose longest pause was too long."""
+    def share_with_late_gap(self, kind: str) -> float:
+        """Return the fraction of a kind whose longest gap exceeded the limit."""
         found = self.find(kind)
         late = [each for each in found if each.gap > each.arrival.ask.gap_max]
         return len(late) / max(1, len(found))
 
-    def late_by_first(self, kind: str) -> float:
-        """Return the part of a kind whose first event came late."""
+    def share_with_late_first(self, kind: str) -> float:
+        """Return the fraction of a kind whose first event missed the objective."""
         found = self.find(kind)
         late = [
             each
@@ -133,76 +133,78 @@
         return len(late) / max(1, len(found))
 
 
-def measure_use(
+def measure_utilisation(
     jobs: Sequence[engine.Job],
     engines: Iterable[engine.Engine],
     slots: int,
     outcomes: Sequence[Outcome],
 ) -> float:
-    """Return how far engines were used over the middle half of the arrivals.
+    """Return the mean utilisation of the engines over the middle half of the arrivals.
 
-    An engine is used up when all its places are taken or when it reads all the time,
-    whichever is nearer.
+    The utilisation of an engine is its share of occupied slots or its share of time
+    spent on prefill, whichever is larger.
     """
     times = sorted(outcome.arrival.at for outcome in outcomes)
     begin, end = times[len(times) // 4], times[3 * len(times) // 4]
-    used = []
+    utilisations = []
     for each in engines:
-        held = sum(
+        occupied = sum(
             max(
                 0.0, min(end, job.events[-1] if job.events else end) - max(begin, start)
             )
             for job in jobs
             if job.engine == each.name and (start := job.started) < end
         )
-        read = sum(seconds for at, seconds in each.reads if begin <= at < end)
-        used.append(max(held / slots, read) / max(end - begin, 1e-9))
-    return sum(used) / len(used)
+        prefill = sum(seconds for at, seconds in each.prefills if begin <= at < end)
+        utilisations.append(max(occupied / slots, prefill) / max(end - begin, 1e-9))
+    return sum(utilisations) / len(utilisations)
 
 
 class Trial:
-    """The state of one trial: a clock, engines, and the home of their pool."""
+    """The state of one simulation: event queue, engines and the home of their pool."""
 
     def __init__(
         self,
-        place: site.Site,
-        asked: Sequence[loads.Arrival],
+        deployment: site.Site,
+        arrivals: Sequence[loads.Arrival],
         seed: int,
         policy: str = "ledger",
     ) -> None:
-        self._site = place
+        self._site = deployment
         self._engines = {
             (name := ids.ServerId(f"engine-{index:02}")): engine.Engine(
-                name, place, place.slow.get(index, 1.0)
+                name, deployment, deployment.slow.get(index, 1.0)
             )
-            for index in range(place.engines)
+            for index in range(deployment.engines)
         }
         self._pool = policies.REGISTRY[policy](random.Random(seed))
         self._pool.set_servers(
             [self._make_entry(name) for name in self._engines],
             catalog.Engine(
-                place.slots,
-                place.memory_tokens,
-                place.stride,
-                place.moves,
-                place.move_token_seconds if place.fetches else 0.0,
+                deployment.slots,
+                deployment.memory_tokens,
+                deployment.stride,
+                deployment.moves,
+                deployment.move_token_seconds if deployment.fetches else 0.0,
             ),
         )
-        self._outcomes = {each.ask.request: Outcome(each) for each in asked}
+        self._outcomes = {each.ask.request: Outcome(each) for each in arrivals}
         self._servers: dict[ids.RequestId, ids.ServerId] = {}
-        self._known: set[str] = set()
+        self._known_parts: set[str] = set()
         self.moved_tokens = self.fetched_tokens = 0
         self._order = itertools.count()
-        self._agenda: list[tuple] = []
-        for each in asked:
-            ask = msgspec.structs.replace(each.ask, stride=place.stride)
-            self._plan(each.at + ask.waited + place.message_seconds, "ask", ask)
+        self._queue: list[tuple] = []
+        for each in arrivals:
+            ask = msgspec.structs.replace(each.ask, stride=deployment.stride)
+            self._schedule(
+                each.at + ask.waited + deployment.message_seconds, "ask", ask
+            )
 
     def play(self, until: float) -> Result:
-        """Play until all is done, at most for a time after the last arrival."""
-        self._plan(0.0, "tick", None)
-        while self._agenda:
-            now, _, kind, value = heapq.heappop(self._agenda)
+        """Run until no event is left or the clock reaches ``until``."""
+        self._schedule(0.0, "tick", None)
+        while self._queue:
+            now, _, kind, value = heapq.heappop(self._queue)
             if now > until:
                 break
             getattr(self, f"_do_{kind}")(value, now)
@@ -211,76 +213,78 @@
         copied = (self.moved_tokens, self.fetched_tokens)
         return Result(outcomes, engines, self._site.slots, *copied)
 
-    def _plan(self, at: float, kind: str, value: object) -> None:
-        heapq.heappush(self._agenda, (at, next(self._order), kind, value))
+    def _schedule(self, at: float, kind: str, value: object) -> None:
+        heapq.heappush(self._queue, (at, next(self._order), kind, value))
 
     def _do_ask(self, ask: messages.SlotRequest, now: float) -> None:
         waited = ask.waited + self._site.message_seconds
-        asked = msgspec.structs.replace(ask, waited=waited)
-        self._send_answers(self._pool.ask(ROUTER, asked, now), now)
+        delayed = msgspec.structs.replace(ask, waited=waited)
+        self._send_answers(self._pool.ask(ROUTER, delayed, now), now)
 
     def _do_tick(self, _: None, now: float) -> None:
         self._send_answers(self._pool.tick(now), now)
-        if any(kind != "tick" for _, _, kind, _ in self._agenda):
-            self._plan(now + TICK_SECONDS, "tick", None)
+        if any(kind != "tick" for _, _, kind, _ in self._queue):
+            self._schedule(now + TICK_SECONDS, "tick", None)
 
     def _do_fetch(self, offer: messages.SlotOffer, now: float) -> None:
-        """Copy the parts that another engine keeps, then start."""
+        """Copy the parts that another engine has cached, then start the run."""
         parts = self._outcomes[offer.request].arrival.ask.parts
-        kept = parts[: self._engines[offer.source].count_kept(parts)]
-        have = self._engines[offer.server].count_kept(parts)
-        tokens = sum(part.tokens for part in kept[have:])
+        cached = parts[: self._engines[offer.source].count_cached(parts)]
+        present = self._engines[offer.server].count_cached(parts)
+        tokens = sum(part.tokens for part in cached[present:])
         self.fetched_tokens += tokens
-        self._engines[offer.server].take_parts(kept)
+        self._engines[offer.server].cache_parts(cached)
         copy = self._site.move_seconds + tokens * self._site.move_token_seconds
-        self._plan(now + copy, "start", offer)
+        self._schedule(now + copy, "start", offer)
 
     def _do_start(self, offer: messages.SlotOffer, now: float) -> None:
         outcome = self._outcomes[offer.request]
-        job = engine.Job(outcome.arrival.ask, outcome.arrival.tokens, 0, 0)
+        job = engine.Job(outcome.arrival.ask, outcome.arrival.output_tokens, 0, 0)
         outcome.job = job
         self._servers[offer.request] = offer.server
-        found = self._engines[offer.server]
-        is_idle = found.next_at is None
-        found.add(job, self._known, now)
+        target_engine = self._engines[offer.server]
+        is_idle = target_engine.next_step_at is None
+        target_engine.add(job, self._known_parts, now)
         if is_idle:
-            self._plan(now, "step", found)
+            self._schedule(now, "step", target_engine)
 
-    def _do_step(self, found: engine.Engine, _: float) -> None:
-        spoke, ended = found.step(self._known)
-        at = (found.next_at or 0.0) if found.next_at else None
-        for job in spoke:
+    def _do_step(self, running: engine.Engine, _: float) -> None:
+        emitted, ended = running.step(self._known_parts)
+        for job in emitted:
             if len(job.events) == 1:
-                self._plan(job.events[0] + self._delay(), "begun", job.ask)
+                self._schedule(job.events[0] + self._delay(), "begun", job.ask)
         for job in ended:
             self._outcomes[job.ask.request].is_ended = True
-            self._plan(job.events[-1] + self._delay(), "ended", job.ask)
-        if at is not None:
-            self._plan(at, "step", found)
+            self._schedule(job.events[-1] + self._delay(), "ended", job.ask)
+        if running.next_step_at:
+            self._schedule(running.next_step_at, "step", running)
 
     def _do_begun(self, ask: messages.SlotRequest, now: float) -> None:
         target = self._pool.begin(ask.request, self._servers[ask.request], now)
         if target is not None:
-            self._plan(now + 2 * self._delay(), "stop", (ask.request, target))
+            self._schedule(now + 2 * self._delay(), "stop", (ask.request, target))
 
     def _do_stop(self, move: tuple[ids.RequestId, ids.ServerId], now: float) -> None:
-        """Stop a run that moves, and copy what it has read."""
+        """Stop a run that migrates and copy its context, unless it has ended."""
         request, target = move
         job = self._outcomes[request].job
-        if self._engines[self._servers[request]].take_out(job):
-            self.moved_tokens += job.context
-            copy = self._site.move_seconds + job.context * self._site.move_token_seconds
-            self._plan(now + copy + 2 * self._delay(), "resume", move)
+        if self._engines[self._servers[request]].remove(job):
+            self.moved_tokens += job.context_tokens
+            copy = (
+                self._site.move_seconds
+                + job.context_tokens * self._site.move_token_seconds
+            )
+            self._schedule(now + copy + 2 * self._delay(), "resume", move)
         else:
             self._settle(request, target, now, is_moved=False)
 
     def _do_resume(self, move: tuple[ids.RequestId, ids.ServerId], now: float) -> None:
         request, target = move
-        found = self._engines[target]
-        is_idle = found.next_at is None
-        found.take_in(self._outcomes[request].job, now)
+        target_engine = self._engines[target]
+        is_idle = target_engine.next_step_at is None
+        target_engine.resume(self._outcomes[request].job, now)
         if is_idle:
-            self._plan(now, "step", found)
+            self._schedule(now, "step", target_engine)
         self._settle(request, target, now, is_moved=True)
         self._servers[request] = target
 
@@ -306,7 +310,7 @@
         for answer in answers:
             if isinstance(answer.message, messages.SlotOffer):
                 kind = "fetch" if answer.message.source else "start"
-                self._plan(now + self._delay(), kind, answer.message)
+                self._schedule(now + self._delay(), kind, answer.message)
             else:
                 self._outcomes[answer.message.request].is_refused = True
 
@@ -326,12 +330,12 @@
 
 
 def play(
-    place: site.Site,
-    asked: Sequence[loads.Arrival],
+    deployment: site.Site,
+    arrivals: Sequence[loads.Arrival],
     *,
     seed: int = 0,
     until: float = 60.0,
     policy: str = "ledger",
 ) -> Result:
-    """Play requests at a deployment; the same seed gives the same result."""
-    return Trial(place, asked, seed, policy).play(until)
+    """Simulate a deployment; deterministic for a given seed."""
+    return Trial(deployment, arrivals, seed, policy).play(until)
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -96,14 +96,20 @@
 
 def measure(deployment: Deployment, times: float, policy: str) -> dict[str, object]:
     """Return what callers get of one policy under one load."""
-    asked = loads.merge(deployment.make_loads(times), SECONDS, random.Random(SEED))
+    asked = loads.generate_arrivals(
+        deployment.make_loads(times), SECONDS, random.Random(SEED)
+    )
     result = trial.play(deployment.make_site(), asked, seed=SEED, policy=policy)
     found: dict[str, object] = {}
     for kind in deployment.kinds:
         found[f"{kind.name} in time"] = round(result.share_in_time(kind.name), 3)
-        found[f"{kind.name} late pause"] = round(result.late_by_pause(kind.name), 3)
-    found["refused"] = round(result.refused / result.asked, 3)
-    found["read again"] = round(result.read_again / max(1, result.read), 3)
+        found[f"{kind.name} late pause"] = round(
+            result.share_with_late_gap(kind.name), 3
+        )
+    found["refused"] = round(result.refused / result.requests, 3)
+    found["read again"] = round(
+        result.recomputed_tokens / max(1, result.prefilled_tokens), 3
+    )
     return found
 
 
--- a/tests/bench/test_placing.py
+++ b/tests/bench/test_placing.py
@@ -20,13 +20,13 @@
     load = loads.Load(
         name, 1.0, 1.0, 10.0, 1.0, (600, 400), 1, own, 0.0, tokens, own_fixed=own
     )
-    (arrival, *_) = loads.merge([load], 20.0, random.Random(1))
+    (arrival, *_) = loads.generate_arrivals([load], 20.0, random.Random(1))
     return engine.Job(arrival.ask, tokens, 0, 0)
 
 
 def run_out(found: engine.Engine, known: set[str]) -> None:
     """Step until the engine has nothing to do."""
-    while found.next_at is not None:
+    while found.next_step_at is not None:
         found.step(known)
 
 
@@ -34,7 +34,7 @@
     found = engine.Engine(ids.ServerId("e"), PLACE, 1.0)
     found.add(make_job("a", 20_000), set(), 0.0)
     run_out(found, set())
-    read = sum(seconds for _, seconds in found.reads)
+    read = sum(seconds for _, seconds in found.prefills)
     assert read == pytest.approx(
         engines.EngineModel().prefill_seconds(21_000, 0), rel=0.01
     )
@@ -46,13 +46,13 @@
     found.add(first, known, 0.0)
     run_out(found, known)
     found.add(second, known, 1.0)
-    assert (first.read, second.read) == (1500, 1)
+    assert (first.prefilled_tokens, second.prefilled_tokens) == (1500, 1)
     run_out(found, known)
     found.add(make_job("b", 99_000), known, 2.0)
     run_out(found, known)
     third = make_job("a", 500)
     found.add(third, known, 9.0)
-    assert third.read_again > 0
+    assert third.recomputed_tokens > 0
 
 
 def test_streams_pause_while_a_prompt_is_read() -> None:
@@ -61,7 +61,7 @@
     found.add(stream, known, 0.0)
     for _ in range(40):
         found.step(known)
-    found.add(make_job("b", 30_000), known, found.next_at)
+    found.add(make_job("b", 30_000), known, found.next_step_at)
     run_out(found, known)
     gaps = [b - a for a, b in zip(stream.events, stream.events[1:], strict=False)]
     # The model takes the last chunks for full ones, and the worst steps for one event.
@@ -72,7 +72,7 @@
 
 def test_same_seed_gives_the_same_result() -> None:
     deployment = placing.read(placing.DEFAULT)
-    asked = loads.merge(deployment.make_loads(0.5), 3.0, random.Random(3))
+    asked = loads.generate_arrivals(deployment.make_loads(0.5), 3.0, random.Random(3))
     results = [
         trial.play(deployment.make_site(), asked, seed=3).tokens_by_account
         for _ in range(2)
--- a/tests/decisions/test_pools.py
+++ b/tests/decisions/test_pools.py
@@ -22,7 +22,7 @@
     parts: list[loads.Load], *, seconds: float = 12.0, deployment: site.Site = SITE
 ) -> trial.Result:
     """Play several loads at once with fixed seeds."""
-    asked = loads.merge(parts, seconds, random.Random(7))
+    asked = loads.generate_arrivals(parts, seconds, random.Random(7))
     return trial.play(deployment, asked, seed=7)
 
 
@@ -75,7 +75,7 @@
     """
     long = make_plans(0.8, own_fixed=40_000)
     result = play([make_notes(20), long])
-    assert result.late_by_pause("notes") <= 0.03
+    assert result.share_with_late_gap("notes") <= 0.03
     assert result.share_served("plans") >= 0.9
 
 
@@ -99,12 +99,12 @@
     """
     result = play([make_notes(40, hot_share=0.6), make_plans(6)])
     assert result.share_in_time("notes") >= 0.95
-    assert result.read_again <= 0.1 * result.read
+    assert result.recomputed_tokens <= 0.1 * result.prefilled_tokens
 
 
 def test_shared_parts_are_rarely_prefilled_again() -> None:
     result = play([make_plans(10)], seconds=20.0)
-    assert result.read_again <= 0.12 * result.read
+    assert result.recomputed_tokens <= 0.12 * result.prefilled_tokens
 
 
 @pytest.mark.parametrize("times", [2, 4])
@@ -115,9 +115,9 @@
     leave without one: capacity is used for nothing.
     """
     result = play([make_plans(110 * times)])
-    assert result.use >= 0.85
+    assert result.utilisation >= 0.85
     assert result.share_of_served_in_time("plans") >= 0.5
-    assert result.gave_up == 0
+    assert result.abandoned == 0
 
 
 def test_slow_engine_gets_fewer_requests() -> None:
@@ -132,10 +132,10 @@
 
 
 def test_burst_is_served() -> None:
-    burst = make_notes(400, begins=4.0, ends=5.0)
+    burst = make_notes(400, starts_at=4.0, ends_at=5.0)
     result = play([make_notes(20), burst])
     assert result.share_served("notes") >= 0.9
-    assert result.refused <= 0.1 * result.asked
+    assert result.refused <= 0.1 * result.requests
 
 
 def test_waiting_accounts_get_equal_service() -> None:
@@ -146,8 +146,8 @@
     """
     result = play(
         [
-            make_plans(120, accounts=("heavy",), subjects_from=0),
-            make_plans(40, accounts=("light",), subjects_from=1000),
+            make_plans(120, accounts=("heavy",), first_subject=0),
+            make_plans(40, accounts=("light",), first_subject=1000),
         ],
         seconds=16.0,
     )
@@ -160,7 +160,7 @@
     """Guards against a queue full of requests that will be refused in the end."""
     asked = [
         make_notes(1500, accounts=("flood",)),
-        make_notes(100, accounts=("steady",), subjects_from=1000),
+        make_notes(100, accounts=("steady",), first_subject=1000),
     ]
     deployment = dataclasses.replace(SITE, engines=2)
     most = 0
@@ -185,7 +185,7 @@
 def test_requests_wait_until_servers_are_known() -> None:
     """Guards against refusals by a home that hasn't received its list of servers."""
     pool = pools.Pool(ids.PoolId("engines#1#0"), random.Random(7))
-    asked = loads.merge([make_notes(100)], 1.0, random.Random(7))
+    asked = loads.generate_arrivals([make_notes(100)], 1.0, random.Random(7))
     assert not any(pool.ask(trial.ROUTER, each.ask, 0.0) for each in asked)
     assert pool.count_waiting() == len(asked)
 
@@ -194,8 +194,8 @@
     """Guards against starvation of accounts whose router is overloaded."""
     result = play(
         [
-            make_plans(120, accounts=("heavy",), subjects_from=0),
-            make_plans(40, accounts=("delayed",), subjects_from=1000, held=0.5),
+            make_plans(120, accounts=("heavy",), first_subject=0),
+            make_plans(40, accounts=("delayed",), first_subject=1000, router_wait=0.5),
         ],
         seconds=16.0,
     )
@@ -214,7 +214,7 @@
     copying = dataclasses.replace(large_memory, fetches=True)
     alone = play([make_plans(60)], deployment=large_memory)
     result = play([make_plans(60)], deployment=copying)
-    assert result.read_again <= 0.4 * alone.read_again
+    assert result.recomputed_tokens <= 0.4 * alone.recomputed_tokens
     assert result.share_in_time("plans") >= alone.share_in_time("plans")
 
 
@@ -224,9 +224,11 @@
     long = make_plans(2.0, own_fixed=40_000)
     alone = play([make_notes(20), long])
     result = play([make_notes(20), long], deployment=moving)
-    assert alone.late_by_pause("plans") >= 0.3
-    assert result.late_by_pause("plans") <= 0.1
-    assert result.late_by_pause("notes") <= alone.late_by_pause("notes") + 0.01
+    assert alone.share_with_late_gap("plans") >= 0.3
+    assert result.share_with_late_gap("plans") <= 0.1
+    assert (
+        result.share_with_late_gap("notes") <= alone.share_with_late_gap("notes") + 0.01
+    )
 
 
 SLOW_READERS = site.Site(
@@ -271,7 +273,7 @@
     """Return the share of each kind answered in time, averaged over several seeds."""
     results = []
     for seed in SEEDS:
-        asked = loads.merge(parts, 12.0, random.Random(seed))
+        asked = loads.generate_arrivals(parts, 12.0, random.Random(seed))
         results.append(trial.play(deployment, asked, seed=seed))
     return [
         sum(result.share_in_time(kind) for result in results) / len(results)
--- a/tests/decisions/test_shards.py
+++ b/tests/decisions/test_shards.py
@@ -38,7 +38,7 @@
 def play(
     parts: list[loads.Load], policy: str = "shards", seconds: float = 6.0
 ) -> trial.Result:
-    asked = loads.merge(parts, seconds, random.Random(5))
+    asked = loads.generate_arrivals(parts, seconds, random.Random(5))
     return trial.play(GROWN, asked, seed=5, policy=policy)
 
 
@@ -173,7 +173,7 @@
     whole, divided = play(usual, "ledger"), play(usual)
     for kind in ("plans", "notes"):
         assert divided.share_in_time(kind) >= whole.share_in_time(kind) - 0.06
-    assert divided.refused <= whole.refused + 0.02 * whole.asked
+    assert divided.refused <= whole.refused + 0.02 * whole.requests
 
 
 def test_hot_part_overflows_to_other_shards() -> None:
@@ -185,7 +185,7 @@
     result = play([make_load(150, hot_share=0.5)])
     assert result.share_served("plans") >= 0.97
     assert result.share_in_time("plans") >= 0.75
-    assert result.read_again <= 0.15 * result.read
+    assert result.recomputed_tokens <= 0.15 * result.prefilled_tokens
 
 
 def test_account_with_one_subject_gets_its_share() -> None:
@@ -194,8 +194,8 @@
     With fairness within each shard only, it would get an eighth of what the other gets.
     """
     many = make_load(260, accounts=("many",))
-    one = make_load(130, accounts=("one",), subjects=1, subjects_from=5_000)
-    others = make_load(130, accounts=("c", "d"), subjects=400, subjects_from=9_000)
+    one = make_load(130, accounts=("one",), subjects=1, first_subject=5_000)
+    others = make_load(130, accounts=("c", "d"), subjects=400, first_subject=9_000)
     result = play([many, one, others], seconds=9.0)
     got = result.tokens_by_account
     assert got["one"] >= 0.5 * got["many"]
--- a/tests/decisions/test_smallvms.py
+++ b/tests/decisions/test_smallvms.py
@@ -27,9 +27,9 @@
     cores.update(dict.fromkeys(large, LARGE_CORES))
     parts = [
         test_pools.make_notes(400, accounts=(FLOOD,)),
-        test_pools.make_notes(150, accounts=(BEHIND_SMALL_VM,), subjects_from=1000),
+        test_pools.make_notes(150, accounts=(BEHIND_SMALL_VM,), first_subject=1000),
     ]
-    asked = loads.merge(parts, 8.0, random.Random(7))
+    asked = loads.generate_arrivals(parts, 8.0, random.Random(7))
     routers = {FLOOD: large[0], BEHIND_SMALL_VM: HASHED_HOME}
     return smallvms.play(SITE, asked, cores=cores, routers=routers, seed=7)
 
@@ -43,4 +43,4 @@
 
 def test_engines_are_busy_despite_an_overloaded_small_vm() -> None:
     """Guards against a home that can't decide on the requests of a flood in time."""
-    assert play().use >= 0.85
+    assert play().utilisation >= 0.85
--- a/tests/gateway/test_poolhomes.py
+++ b/tests/gateway/test_poolhomes.py
@@ -36,7 +36,7 @@
     load = loads.Load(
         "notes", 100.0, 0.4, 3.0, 0.3, (30, 20), 5, 60, 0.1, 6, ("short",), **values
     )
-    return loads.merge([load], 10.0, random.Random(1))[:count]
+    return loads.generate_arrivals([load], 10.0, random.Random(1))[:count]
 
 
 @pytest.fixture
