--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -1,9 +1,9 @@
-"""Plays requests that crash servers to ways of telling them from others.
+"""Compares quarantine policies on simulated requests that crash servers.
 
-``make bench NAME=crashing`` prints for each pattern and way how many servers crashed
-and what became of the other requests; ``ARGUMENTS=SEEDS`` names how many seeds are
-played. Routers, servers and callers share one virtual clock; each router has a memory
-of its own, and news take a while.
+``make bench NAME=crashing`` prints for each pattern and policy how many servers crashed
+and what happened to the other requests; ``ARGUMENTS=SEEDS`` sets the number of seeds.
+Routers, servers and callers share one virtual clock. Each router has its own
+replica of the quarantine; changes reach the others with a delay.
 """
 
 from __future__ import annotations
@@ -21,345 +21,376 @@
 from celeryspan.wire import messages
 
 SEEDS = 10
-DAY_SECONDS = 40.0
+SIMULATED_SECONDS = 40.0
 ROUTERS = 6
 SLOTS = 48
-NEWS_SECONDS = (0.02, 0.4)
+PROPAGATION_SECONDS = (0.02, 0.4)
+"""Range of the time in which a change reaches another router."""
+
 DOWN_SECONDS = 3.5
 FATAL_SECONDS = (0.05, 0.3)
-RETURN_SECONDS = 0.2
-"""After which a caller whose answer was lost or refused comes again."""
+"""Range of the time that a fatal request runs before its server crashes."""
+
+RETRY_SECONDS = 0.2
+"""Delay after which callers retry a request that was lost or refused."""
 
-TRIES_MAX = 8
+ATTEMPTS_MAX = 8
 WINDOW_SECONDS = 3.0
-"""From the third crash on; later sends of the cause count."""
+"""Time after the third crash from which sends of a fatal request count as late."""
 
 Standing = quarantine.Standing
-WAYS: dict[str, Callable[[quarantine.Quarantine, int], Standing]] = {}
+POLICIES: dict[str, Callable[[quarantine.Quarantine, int], Standing]] = {}
 
 
-def way(name: str) -> Callable[[Callable], Callable]:
-    """Put a way of judging a request into the registry."""
+def policy(name: str) -> Callable[[Callable], Callable]:
+    """Register a function that decides the standing of a request."""
 
-    def decorate(judge: Callable) -> Callable:
-        WAYS[name] = judge
-        return judge
+    def decorate(decide: Callable) -> Callable:
+        POLICIES[name] = decide
+        return decide
 
     return decorate
 
 
-@way("no memory")
-def _forget(_: quarantine.Quarantine, __: int) -> Standing:
+@policy("no quarantine")
+def _accept_all(_: quarantine.Quarantine, __: int) -> Standing:
     return Standing.CLEAR
 
 
-@way("all with three crashes")
-def _count(known: quarantine.Quarantine, whole: int) -> Standing:
+@policy("all after three crashes")
+def _count_all(known: quarantine.Quarantine, whole: int) -> Standing:
     suspect = known.find_suspect(whole)
-    is_held = suspect is not None and len(suspect.strikes) >= 3
-    return Standing.QUARANTINED if is_held else Standing.CLEAR
+    is_quarantined = suspect is not None and len(suspect.strikes) >= 3
+    return Standing.QUARANTINED if is_quarantined else Standing.CLEAR
 
 
-@way("answers acquit")
+@policy("answers acquit")
 def _count_unanswered(known: quarantine.Quarantine, whole: int) -> Standing:
     suspect = known.find_suspect(whole)
     strikes = quarantine.list_strikes(suspect) if suspect else ()
     return Standing.QUARANTINED if len(strikes) >= 3 else Standing.CLEAR
 
 
-@way("without isolation")
-def _judge_together(known: quarantine.Quarantine, whole: int) -> Standing:
+@policy("without isolation")
+def _decide_without_isolation(known: quarantine.Quarantine, whole: int) -> Standing:
     standing = known.find_standing(whole)
     return Standing.CLEAR if standing is Standing.ISOLATED else standing
 
 
-@way("as decided")
-def _judge(known: quarantine.Quarantine, whole: int) -> Standing:
+@policy("current policy")
+def _decide(known: quarantine.Quarantine, whole: int) -> Standing:
     return known.find_standing(whole)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pattern:
-    """What happens on a day.
+    """Servers, load and faults of a simulation; times are in seconds.
 
     Attributes
     ----------
-    causes : int
-        Requests that crash servers.
-    cause_seconds : float
-        Between two copies of each.
-    chance_seconds : float
-        Between two crashes of other causes; 0 for none.
-    together : int
-        Servers that such a crash takes at once.
+    rate : float
+        Requests per second that do not crash servers.
+    fatal_requests : int
+        Number of distinct requests that crash servers.
+    fatal_interval : float
+        Mean time between two copies of each fatal request.
+    unrelated_interval : float
+        Time between two crashes that no request causes; 0 for none.
+    simultaneous : int
+        Servers that crash at once in an unrelated crash.
     popular : float
-        Share of the others that ask one of five things.
+        Fraction of the other requests that are copies of one of five requests.
     restart : float
-        When all routers lose their memory but for what is in the store; 0 for never.
+        Time at which all routers restart and keep only what is in the store; 0 for
+        never.
     """
 
     servers: int = 5
     rate: float = 60.0
-    causes: int = 1
-    cause_seconds: float = 0.5
-    chance_seconds: float = 0.0
-    together: int = 1
+    fatal_requests: int = 1
+    fatal_interval: float = 0.5
+    unrelated_interval: float = 0.0
+    simultaneous: int = 1
     popular: float = 0.1
     restart: float = 0.0
 
 
 PATTERNS = {
-    "one cause": Pattern(),
-    "one cause, many copies": Pattern(cause_seconds=0.05),
-    "one cause, 3 servers": Pattern(servers=3),
-    "one cause, 50 servers": Pattern(servers=50, rate=120.0),
-    "two causes": Pattern(causes=2),
-    "one cause, routers restart": Pattern(cause_seconds=1.5, restart=3.0),
-    "one cause, other crashes": Pattern(chance_seconds=2.0),
-    "other crashes only": Pattern(causes=0, chance_seconds=1.0),
-    "three servers at once": Pattern(causes=0, chance_seconds=6.0, together=3),
+    "one fatal request": Pattern(),
+    "one fatal request, many copies": Pattern(fatal_interval=0.05),
+    "one fatal request, 3 servers": Pattern(servers=3),
+    "one fatal request, 50 servers": Pattern(servers=50, rate=120.0),
+    "two fatal requests": Pattern(fatal_requests=2),
+    "one fatal request, routers restart": Pattern(fatal_interval=1.5, restart=3.0),
+    "one fatal request, unrelated crashes": Pattern(unrelated_interval=2.0),
+    "unrelated crashes only": Pattern(fatal_requests=0, unrelated_interval=1.0),
+    "three servers at once": Pattern(
+        fatal_requests=0, unrelated_interval=6.0, simultaneous=3
+    ),
 }
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
-    """One request of a caller, through all its tries."""
+class Request:
+    """One request of a caller with all its attempts.
+
+    Attributes
+    ----------
+    whole : int
+        Hash of the whole request; negative if it crashes servers.
+    isolation : int
+        The hash if the current run is isolated, else 0.
+    """
 
     whole: int
     seconds: float
-    began_at: float
-    tries: int = 0
+    started_at: float
+    attempts: int = 0
     trial: int = 0
     sent_at: float = 0.0
     isolation: int = 0
 
     @property
-    def is_cause(self) -> bool:
-        """Whether it crashes servers."""
+    def is_fatal(self) -> bool:
+        """Whether the request crashes the server that runs it."""
         return self.whole < 0
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What came of one day.
+    """Counts of one simulation.
 
     Attributes
     ----------
     late_sends : int
-        The most sends of one cause later than the window after its third crash.
-    held : int
-        Requests that are no cause and were refused at least once.
-    served, given_up : int
-        Other requests that got an answer, and those whose tries ran out.
+        Maximum over the fatal requests of the sends after the window that follows the
+        third crash.
+    refused_innocents : int
+        Harmless requests that were refused at least once.
+    served, abandoned : int
+        Harmless requests that were answered, and those that ran out of attempts.
     """
 
     crashes: int = 0
     late_sends: int = 0
-    held: int = 0
+    refused_innocents: int = 0
     served: int = 0
-    given_up: int = 0
+    abandoned: int = 0
 
 
-class Day:
-    """One seeded day."""
+class Simulation:
+    """One simulation with a fixed seed."""
 
-    def __init__(self, pattern: Pattern, way_name: str, seed: int) -> None:
+    def __init__(self, pattern: Pattern, policy_name: str, seed: int) -> None:
         self.result = Result()
         self._pattern = pattern
-        self._judge = WAYS[way_name]
+        self._find_standing = POLICIES[policy_name]
         self._random = random.Random(seed)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._now = 0.0
-        self._names = itertools.count(1)
-        self._lives: dict[int, int] = {n: 0 for n in range(pattern.servers)}
-        self._runs: dict[int, list[Ask]] = {n: [] for n in range(pattern.servers)}
+        self._numbers = itertools.count(1)
+        self._incarnations: dict[int, int] = {n: 0 for n in range(pattern.servers)}
+        self._runs: dict[int, list[Request]] = {n: [] for n in range(pattern.servers)}
         self._down: set[int] = set()
-        self._memories = [quarantine.Quarantine() for _ in range(ROUTERS)]
+        self._replicas = [quarantine.Quarantine() for _ in range(ROUTERS)]
         self._stored: dict[int, messages.Suspect] = {}
-        self._crashed: dict[int, list[float]] = collections.defaultdict(list)
-        self._sent: dict[int, list[float]] = collections.defaultdict(list)
-        self._held: set[int] = set()
+        self._crash_times: dict[int, list[float]] = collections.defaultdict(list)
+        self._send_times: dict[int, list[float]] = collections.defaultdict(list)
+        self._refused: set[int] = set()
 
-    def play(self) -> Result:
-        """Play the day."""
+    def run(self) -> Result:
+        """Run the simulation and return its counts."""
         pattern = self._pattern
-        self._at(0.0, self._send_other)
-        for cause in range(1, pattern.causes + 1):
-            self._at(2.0 + cause, lambda whole=-cause: self._send_cause(whole))
-        if pattern.chance_seconds:
-            self._at(pattern.chance_seconds, self._crash_by_chance)
+        self._schedule(0.0, self._send_harmless)
+        for number in range(1, pattern.fatal_requests + 1):
+            self._schedule(2.0 + number, lambda whole=-number: self._send_fatal(whole))
+        if pattern.unrelated_interval:
+            self._schedule(pattern.unrelated_interval, self._crash_unrelated)
         if pattern.restart:
-            self._at(pattern.restart + 2.0, self._restart_routers)
-        while self._queue and self._queue[0][0] < DAY_SECONDS:
-            self._now, _, act = heapq.heappop(self._queue)
-            act()
-        self.result.held = len(self._held)
-        self.result.late_sends = max(map(self._count_late, self._sent), default=0)
+            self._schedule(pattern.restart + 2.0, self._restart_routers)
+        while self._queue and self._queue[0][0] < SIMULATED_SECONDS:
+            self._now, _, action = heapq.heappop(self._queue)
+            action()
+        self.result.refused_innocents = len(self._refused)
+        self.result.late_sends = max(map(self._count_late, self._send_times), default=0)
         return self.result
 
     def _count_late(self, whole: int) -> int:
-        crashes = sorted(self._crashed[whole])
+        crashes = sorted(self._crash_times[whole])
         if len(crashes) < 3:
             return 0
-        return sum(at > crashes[2] + WINDOW_SECONDS for at in self._sent[whole])
+        return sum(at > crashes[2] + WINDOW_SECONDS for at in self._send_times[whole])
 
-    def _at(self, at: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (at, next(self._order), act))
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (at, next(self._order), action))
 
-    def _send_other(self) -> None:
+    def _send_harmless(self) -> None:
         pattern = self._pattern
         is_popular = self._random.random() < pattern.popular
-        whole = self._random.randrange(1, 6) if is_popular else next(self._names) + 10
+        whole = self._random.randrange(1, 6) if is_popular else next(self._numbers) + 10
         seconds = self._random.choice((0.1, 0.3, 0.6, 2.0, 5.0))
-        self._try(Ask(whole, seconds, self._now))
-        self._at(self._now + self._random.expovariate(pattern.rate), self._send_other)
+        self._send(Request(whole, seconds, self._now))
+        self._schedule(
+            self._now + self._random.expovariate(pattern.rate), self._send_harmless
+        )
 
-    def _send_cause(self, whole: int) -> None:
+    def _send_fatal(self, whole: int) -> None:
         seconds = self._random.uniform(*FATAL_SECONDS)
-        self._try(Ask(whole, seconds, self._now))
-        gap = self._random.expovariate(1.0 / self._pattern.cause_seconds)
-        self._at(self._now + gap, lambda: self._send_cause(whole))
-
-    def _try(self, ask: Ask) -> None:
-        """Send a request by any router."""
-        ask.tries += 1
-        if ask.tries > TRIES_MAX:
-            self.result.given_up += not ask.is_cause
+        self._send(Request(whole, seconds, self._now))
+        gap = self._random.expovariate(1.0 / self._pattern.fatal_interval)
+        self._schedule(self._now + gap, lambda: self._send_fatal(whole))
+
+    def _send(self, request: Request) -> None:
+        """Send a request through a random router."""
+        request.attempts += 1
+        if request.attempts > ATTEMPTS_MAX:
+            self.result.abandoned += not request.is_fatal
             return
-        memory = self._random.choice(self._memories)
-        standing = self._judge(memory, ask.whole)
+        replica = self._random.choice(self._replicas)
+        standing = self._find_standing(replica, request.whole)
         if standing is Standing.QUARANTINED:
-            if not ask.is_cause:
-                self._held.add(ask.whole)
-                self._try_later(ask)
+            if not request.is_fatal:
+                self._refused.add(request.whole)
+                self._retry_later(request)
             return
-        ask.isolation = ask.whole if standing is Standing.ISOLATED else 0
-        server = self._choose_server(ask)
+        request.isolation = request.whole if standing is Standing.ISOLATED else 0
+        server = self._choose_server(request)
         if server is None:
-            self._try_later(ask)
+            self._retry_later(request)
             return
-        ask.trial = quarantine.count_trials(memory.find_suspect(ask.whole)) + 1
-        ask.sent_at = self._now
-        self._runs[server].append(ask)
-        if ask.is_cause:
-            self._sent[ask.whole].append(self._now)
-        life = self._lives[server]
-        self._at(self._now + ask.seconds, lambda: self._end(ask, server, life))
-
-    def _try_later(self, ask: Ask) -> None:
-        if not ask.is_cause:
-            self._at(self._now + RETURN_SECONDS, lambda: self._try(ask))
-
-    def _choose_server(self, ask: Ask) -> int | None:
+        request.trial = quarantine.count_trials(replica.find_suspect(request.whole)) + 1
+        request.sent_at = self._now
+        self._runs[server].append(request)
+        if request.is_fatal:
+            self._send_times[request.whole].append(self._now)
+        incarnation = self._incarnations[server]
+        self._schedule(
+            self._now + request.seconds, lambda: self._end(request, server, incarnation)
+        )
+
+    def _retry_later(self, request: Request) -> None:
+        if not request.is_fatal:
+            self._schedule(self._now + RETRY_SECONDS, lambda: self._send(request))
+
+    def _choose_server(self, request: Request) -> int | None:
         open_servers = [
             number
             for number, runs in self._runs.items()
             if number not in self._down and len(runs) < SLOTS
         ]
-        if ask.isolation:
-            apart = {
+        if request.isolation:
+            isolated = {
                 number: {run.isolation for run in runs if run.isolation}
                 for number, runs in self._runs.items()
             }
-            if any(ask.isolation in found for found in apart.values()):
+            if any(request.isolation in hashes for hashes in isolated.values()):
                 return None
-            open_servers = [number for number in open_servers if not apart[number]]
+            open_servers = [number for number in open_servers if not isolated[number]]
         if not open_servers:
             return None
         least = min(len(self._runs[number]) for number in open_servers)
-        few = [n for n in open_servers if len(self._runs[n]) <= least + 4]
-        return self._random.choice(few)
-
-    def _end(self, ask: Ask, server: int, life: int) -> None:
-        if self._lives[server] != life or ask not in self._runs[server]:
+        least_loaded = [n for n in open_servers if len(self._runs[n]) <= least + 4]
+        return self._random.choice(least_loaded)
+
+    def _end(self, request: Request, server: int, incarnation: int) -> None:
+        if (
+            self._incarnations[server] != incarnation
+            or request not in self._runs[server]
+        ):
             return
-        if ask.is_cause:
-            self._crashed[ask.whole].append(self._now)
+        if request.is_fatal:
+            self._crash_times[request.whole].append(self._now)
             self._crash(server)
             return
-        self._runs[server].remove(ask)
+        self._runs[server].remove(request)
         self.result.served += 1
-        memory = self._random.choice(self._memories)
-        word = memory.acquit(ask.whole)
-        if word is not None:
-            self._spread(memory, word)
+        replica = self._random.choice(self._replicas)
+        change = replica.acquit(request.whole)
+        if change is not None:
+            self._propagate(replica, change)
 
-    def _crash_by_chance(self) -> None:
+    def _crash_unrelated(self) -> None:
         up = [number for number in self._runs if number not in self._down]
-        for server in self._random.sample(up, min(self._pattern.together, len(up))):
+        for server in self._random.sample(up, min(self._pattern.simultaneous, len(up))):
             self._crash(server)
-        self._at(self._now + self._pattern.chance_seconds, self._crash_by_chance)
+        self._schedule(
+            self._now + self._pattern.unrelated_interval, self._crash_unrelated
+        )
 
     def _crash(self, server: int) -> None:
         self.result.crashes += 1
-        name = f"{server}@{self._lives[server]}"
+        name = f"{server}@{self._incarnations[server]}"
         lost, self._runs[server] = self._runs[server], []
-        self._lives[server] += 1
+        self._incarnations[server] += 1
         self._down.add(server)
-        self._at(self._now + DOWN_SECONDS, lambda: self._down.discard(server))
-        for ask in lost:
-            run_seconds = self._now - ask.sent_at
+        self._schedule(self._now + DOWN_SECONDS, lambda: self._down.discard(server))
+        for request in lost:
+            run_seconds = self._now - request.sent_at
             strike = messages.Strike(
                 name,
                 self._now_ms(),
-                min(ask.trial, quarantine.TRIAL_MAX),
+                min(request.trial, quarantine.TRIAL_MAX),
                 int(run_seconds * 1000),
                 run_seconds <= quarantine.PROMPT_SECONDS,
             )
-            word = messages.Suspect(ask.whole & 0xFFFF, ask.whole, 0, (strike,))
-            self._spread(self._random.choice(self._memories), word)
-            self._try_later(ask)
-
-    def _spread(self, first: quarantine.Quarantine, word: messages.Suspect) -> None:
-        """Let one router know at once, the others and the store a little later."""
-        first.merge([word], self._now_ms())
-        known = first.find_suspect(word.whole)
-        if known is None:
+            change = messages.Suspect(
+                request.whole & 0xFFFF, request.whole, 0, (strike,)
+            )
+            self._propagate(self._random.choice(self._replicas), change)
+            self._retry_later(request)
+
+    def _propagate(
+        self, first: quarantine.Quarantine, change: messages.Suspect
+    ) -> None:
+        """Merge a change into one replica and the store now, into others later."""
+        first.merge([change], self._now_ms())
+        merged = first.find_suspect(change.whole)
+        if merged is None:
             return
-        self._stored[word.whole] = known
-        for memory in self._memories:
-            if memory is not first:
-                delay = self._random.uniform(*NEWS_SECONDS)
-                self._at(
+        self._stored[change.whole] = merged
+        for replica in self._replicas:
+            if replica is not first:
+                delay = self._random.uniform(*PROPAGATION_SECONDS)
+                self._schedule(
                     self._now + delay,
-                    lambda memory=memory: memory.merge([known], self._now_ms()),
+                    lambda replica=replica: replica.merge([merged], self._now_ms()),
                 )
 
     def _restart_routers(self) -> None:
-        self._memories = [quarantine.Quarantine() for _ in range(ROUTERS)]
-        for memory in self._memories:
-            memory.merge(self._stored.values(), self._now_ms())
+        self._replicas = [quarantine.Quarantine() for _ in range(ROUTERS)]
+        for replica in self._replicas:
+            replica.merge(self._stored.values(), self._now_ms())
 
     def _now_ms(self) -> int:
         return 1_000 + int(self._now * 1000)
 
 
-def play(pattern: Pattern, way_name: str, seeds: int) -> list[Result]:
-    """Play some seeds of a pattern."""
-    return [Day(pattern, way_name, seed).play() for seed in range(seeds)]
+def simulate(pattern: Pattern, policy_name: str, seeds: int) -> list[Result]:
+    """Run a pattern under one policy for each of the first seeds."""
+    return [Simulation(pattern, policy_name, seed).run() for seed in range(seeds)]
 
 
-def measure(pattern: str, way_name: str, seeds: int) -> dict[str, object]:
-    """Return means over the seeds; of late sends the most."""
-    found = play(PATTERNS[pattern], way_name, seeds)
+def measure(pattern: str, policy_name: str, seeds: int) -> dict[str, object]:
+    """Return means over the seeds, but the maximum of the late sends."""
+    results = simulate(PATTERNS[pattern], policy_name, seeds)
 
     def mean(field: str) -> float:
-        return round(statistics.mean(getattr(each, field) for each in found), 1)
+        return round(statistics.mean(getattr(each, field) for each in results), 1)
 
     return {
         "crashes": mean("crashes"),
-        "late sends": max(each.late_sends for each in found),
-        "innocents held": mean("held"),
-        "given up": mean("given_up"),
+        "late sends": max(each.late_sends for each in results),
+        "refused innocents": mean("refused_innocents"),
+        "abandoned": mean("abandoned"),
         "served": mean("served"),
     }
 
 
 def run(arguments: list[str]) -> int:
-    """Print what came of each pattern and way."""
+    """Print one table per pattern with a row per policy."""
     seeds = int(arguments[0]) if arguments else SEEDS
     tables.print_patterns(
-        PATTERNS, WAYS, lambda pattern, name: measure(pattern, name, seeds)
+        PATTERNS, POLICIES, lambda pattern, name: measure(pattern, name, seeds)
     )
     return 0
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,7 +1,7 @@
-"""Plays a deployment's loads to ways of placing, on emulated engines.
+"""Compares placement policies under the loads of a deployment, on emulated engines.
 
-``make bench NAME=placing`` prints for each load and policy what callers get; a file of
-another deployment may be named: ``ARGUMENTS=path/to/site.yaml``.
+``make bench NAME=placing`` prints latencies and refusals for each load and policy. Use
+``ARGUMENTS=path/to/site.yaml`` for the file of another deployment.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from bench import tables
 from bench.engines import loads, policies, site, trial
 
-DEFAULT = pathlib.Path(__file__).parent / "engines" / "sites" / "gates.yaml"
+DEFAULT_PATH = pathlib.Path(__file__).parent / "engines" / "sites" / "gates.yaml"
 SECONDS = 20.0
 SEED = 11
 
 PATTERNS = {
-    "as usual": 1.0,
-    "one and a half times": 1.5,
-    "twice": 2.0,
-    "four times": 4.0,
+    "normal load": 1.0,
+    "1.5 times the load": 1.5,
+    "2 times the load": 2.0,
+    "4 times the load": 4.0,
 }
-"""Rates against those of the file."""
+"""Factors by which the request rates of the file are multiplied."""
 
 
 class Kind(pydantic.BaseModel):
-    """One kind of request; the fields are those of :class:`loads.Load`."""
+    """One kind of request, with fields as in :class:`loads.Load`."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -49,7 +49,7 @@
 
 
 class Deployment(pydantic.BaseModel):
-    """A file of the emulator."""
+    """The contents of a deployment file; ``times`` has the other fields of the site."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -65,7 +65,7 @@
     kinds: tuple[Kind, ...] = pydantic.Field(min_length=1)
 
     def make_site(self) -> site.Site:
-        """Return the engines."""
+        """Return the engines of the deployment."""
         return site.Site(
             self.engines,
             self.slots,
@@ -77,45 +77,51 @@
             **self.times,
         )
 
-    def make_loads(self, times: float) -> list[loads.Load]:
-        """Return the kinds of request at so many times their rates."""
+    def make_loads(self, rate_factor: float) -> list[loads.Load]:
+        """Return the loads with their rates multiplied by a factor."""
         accounts = tuple(f"account-{number}" for number in range(self.accounts))
         return [
             dataclasses.replace(
                 loads.Load(**kind.model_dump(), accounts=accounts),
-                rate=kind.rate * times,
+                rate=kind.rate * rate_factor,
             )
             for kind in self.kinds
         ]
 
 
 def read(path: pathlib.Path) -> Deployment:
-    """Return the deployment in a file; raises pydantic.ValidationError."""
+    """Read a deployment file.
+
+    Raises
+    ------
+    pydantic.ValidationError
+        If a field is unknown, missing or out of range.
+    """
     return Deployment.model_validate(yaml.safe_load(path.read_text()))
 
 
-def measure(deployment: Deployment, times: float, policy: str) -> dict[str, object]:
-    """Return what callers get of one policy under one load."""
-    asked = loads.generate_arrivals(
-        deployment.make_loads(times), SECONDS, random.Random(SEED)
+def measure(
+    deployment: Deployment, rate_factor: float, policy: str
+) -> dict[str, object]:
+    """Return the share of late and refused requests under one policy and load."""
+    arrivals = loads.generate_arrivals(
+        deployment.make_loads(rate_factor), SECONDS, random.Random(SEED)
     )
-    result = trial.play(deployment.make_site(), asked, seed=SEED, policy=policy)
-    found: dict[str, object] = {}
+    result = trial.play(deployment.make_site(), arrivals, seed=SEED, policy=policy)
+    row: dict[str, object] = {}
     for kind in deployment.kinds:
-        found[f"{kind.name} in time"] = round(result.share_in_time(kind.name), 3)
-        found[f"{kind.name} late pause"] = round(
-            result.share_with_late_gap(kind.name), 3
-        )
-    found["refused"] = round(result.refused / result.requests, 3)
-    found["read again"] = round(
+        row[f"{kind.name} in time"] = round(result.share_in_time(kind.name), 3)
+        row[f"{kind.name} late gap"] = round(result.share_with_late_gap(kind.name), 3)
+    row["refused"] = round(result.refused / result.requests, 3)
+    row["recomputed"] = round(
         result.recomputed_tokens / max(1, result.prefilled_tokens), 3
     )
-    return found
+    return row
 
 
 def run(arguments: list[str]) -> int:
-    """Print a table for each load."""
-    deployment = read(pathlib.Path(arguments[0]) if arguments else DEFAULT)
+    """Print one table per load."""
+    deployment = read(pathlib.Path(arguments[0]) if arguments else DEFAULT_PATH)
     tables.print_patterns(
         PATTERNS,
         policies.REGISTRY,
--- a/tests/bench/test_crashing.py
+++ b/tests/bench/test_crashing.py
@@ -1,4 +1,4 @@
-"""A day with a request that crashes servers, on one clock for routers and servers."""
+"""Tests of the simulation of requests that crash servers."""
 
 from __future__ import annotations
 
@@ -6,26 +6,30 @@
 
 from bench import crashing
 
-RETRIES_MAX = 3
-"""Sends later than three seconds after the third crash that the users allow."""
+LATE_SENDS_MAX = 3
+"""Sends of a fatal request that users accept later than 3 s after its third crash."""
 
 
-@pytest.mark.parametrize("name", ["one cause", "one cause, routers restart"])
-def test_cause_is_stopped_and_nobody_else_is_held(name: str) -> None:
-    """Guards against a service that is down because of one request."""
-    for result in crashing.play(crashing.PATTERNS[name], "as decided", 2):
-        assert result.late_sends <= RETRIES_MAX
-        assert result.held == 0
+@pytest.mark.parametrize(
+    "name", ["one fatal request", "one fatal request, routers restart"]
+)
+def test_fatal_request_is_stopped_and_no_other_is_refused(name: str) -> None:
+    """Guards against a service that stays down because one fatal request is retried."""
+    for result in crashing.simulate(crashing.PATTERNS[name], "current policy", 2):
+        assert result.late_sends <= LATE_SENDS_MAX
+        assert result.refused_innocents == 0
 
 
-def test_servers_that_crash_together_leave_nobody_held() -> None:
-    """Guards against popular requests that are held after a loss of power."""
+def test_simultaneous_crashes_quarantine_no_request() -> None:
+    """Guards against quarantining popular requests after a power failure."""
     pattern = crashing.PATTERNS["three servers at once"]
-    for result in crashing.play(pattern, "as decided", 2):
-        assert result.held == 0
+    for result in crashing.simulate(pattern, "current policy", 2):
+        assert result.refused_innocents == 0
 
 
-def test_emulator_shows_the_fault_without_a_memory() -> None:
-    """Guards against an emulator that shows no fault whatever is decided."""
-    (result,) = crashing.play(crashing.PATTERNS["one cause"], "no memory", 1)
-    assert result.late_sends > 10 * RETRIES_MAX
+def test_simulation_shows_the_fault_without_quarantine() -> None:
+    """Guards against a simulation in which every policy passes."""
+    (result,) = crashing.simulate(
+        crashing.PATTERNS["one fatal request"], "no quarantine", 1
+    )
+    assert result.late_sends > 10 * LATE_SENDS_MAX
