--- a/bench/resting.py
+++ b/bench/resting.py
@@ -75,7 +75,7 @@
     ]
     for router in routers:
         router.start()
-        stack.callback(router.end)
+        stack.callback(router.kill)
     return routers
 
 
--- a/bench/routercost.py
+++ b/bench/routercost.py
@@ -94,7 +94,7 @@
             "edge-1", store.address, ports.find_ports(4), folder, threads=THREADS
         )
         router.start()
-        stack.callback(router.end)
+        stack.callback(router.kill)
         wait_ready(router)
         yield router, router.process, slow
 
--- a/bench/soakfatal.py
+++ b/bench/soakfatal.py
@@ -1,7 +1,7 @@
-"""Requests that crash servers, beside the seeded faults of the soak.
+"""Requests that crash servers, in addition to the seeded faults of the soak.
 
-They draw from a generator of their own, so that the faults of a seed stay as they are.
-A crashed server comes back after a while under its name, as another incarnation.
+They use a separate random generator, so that the faults of a seed do not depend on
+them. A crashed server restarts after a while under its name as a new incarnation.
 """
 
 from __future__ import annotations
@@ -27,64 +27,70 @@
 }
 CALL_SECONDS = 4.0
 COPIES = (2, 8)
-"""Least and most copies of a request in one spell."""
+"""Range of the number of copies of a request in one burst."""
 
 GAP_SECONDS = (0.0, 0.5)
+"""Range of the time between two copies."""
+
 QUIET_SECONDS = (0.5, 3.0)
-"""Between two copies, and between two spells."""
+"""Range of the time between two bursts."""
+
+EXPIRY_SECONDS = (0.2, 0.8)
+"""Range of the time from a crash to the removal of the server's entry."""
 
-LAPSE_SECONDS = (0.2, 0.8)
-RETURN_SECONDS = (0.3, 2.0)
-"""From a crash to the end of the entry, and from there to the next incarnation."""
+RESTART_SECONDS = (0.3, 2.0)
+"""Range of the time from the removal of the entry to the next incarnation."""
 
 POLL_SECONDS = 0.002
 WINDOW_SECONDS = 3.0
-RETRIES_MAX = 3
-"""Sends of a request that may reach servers later than the window after it has crashed
-the third."""
+"""Time after the third crash from which copies of a fatal request count as late."""
+
+CRASHES_MIN = 3
+LATE_COPIES_MAX = 3
+"""Number of late copies of a fatal request that may reach servers."""
 
 
 class FatalCaller:
-    """Sends copies of fatal requests by spells, and brings crashed servers back.
+    """Sends bursts of fatal requests and restarts the servers that crash.
 
     Attributes
     ----------
     bookings : list of str
-        Ids of the requests among them that may run once at most.
+        Ids of the requests that are not idempotent and may run at most once.
     """
 
-    def __init__(self, place: soak.Soak, seed: int) -> None:
-        self._place = place
+    def __init__(self, run: soak.Soak, seed: int) -> None:
+        self._run = run
         self._random = random.Random(f"fatal {seed}")
         self._count = 0
         self.bookings: list[str] = []
         self._stopped = threading.Event()
         self._threads = [
             threading.Thread(target=task, daemon=True)
-            for task in (self._send_spells, self._replace_crashed)
+            for task in (self._send_bursts, self._watch_crashes)
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending and restarting."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Send nothing more; servers that are down stay so."""
+        """Stop; crashed servers stay down."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
 
     def count_excess(self, servers: Iterable[platformserver.PlatformServer]) -> int:
-        """Return how many sends there were beyond those that are allowed."""
+        """Return the number of late copies beyond the allowed number."""
         found = list(servers)
-        return sum(max(0, count_late(body, found) - RETRIES_MAX) for body in BODIES)
+        return sum(max(0, count_late(body, found) - LATE_COPIES_MAX) for body in BODIES)
 
-    def _send_spells(self) -> None:
+    def _send_bursts(self) -> None:
         while not self._stopped.wait(self._random.uniform(*QUIET_SECONDS)):
             body = self._random.choice(sorted(BODIES))
             for _ in range(self._random.randint(*COPIES)):
-                self._send(body, self._random.choice(self._place.routers))
+                self._send(body, self._random.choice(self._run.routers))
                 if self._stopped.wait(self._random.uniform(*GAP_SECONDS)):
                     return
 
@@ -105,41 +111,41 @@
                 connection.request("POST", PATHS[body], body=body, headers=headers)
                 connection.getresponse().read()
 
-    def _replace_crashed(self) -> None:
-        place = self._place
+    def _watch_crashes(self) -> None:
+        run = self._run
         while not self._stopped.wait(POLL_SECONDS):
-            for index, server in enumerate(list(place.servers)):
-                if server.crashed.is_set() and server not in place.crashed:
-                    place.proxies[server.name].stop()
-                    place.crashed.append(server)
+            for index, server in enumerate(list(run.servers)):
+                if server.crashed.is_set() and server not in run.crashed:
+                    run.proxies[server.name].stop()
+                    run.crashed.append(server)
                     threading.Thread(
-                        target=self._replace, args=(index, server), daemon=True
+                        target=self._restart, args=(index, server), daemon=True
                     ).start()
 
-    def _replace(self, index: int, server: platformserver.PlatformServer) -> None:
-        """Let the entry of a crashed server lapse, and start it again."""
-        place, name = self._place, server.name
-        place.note(f"{name} crashes by {server.crashed_by}")
-        time.sleep(self._random.uniform(*LAPSE_SECONDS))
-        if name not in place.left:
-            place.store.remove("servers", name)
-        time.sleep(self._random.uniform(*RETURN_SECONDS))
-        if name in place.left or self._stopped.is_set():
+    def _restart(self, index: int, server: platformserver.PlatformServer) -> None:
+        """Remove the entry of a crashed server and start its next incarnation."""
+        run, name = self._run, server.name
+        run.record_event(f"{name} was crashed by {server.crashed_by}")
+        time.sleep(self._random.uniform(*EXPIRY_SECONDS))
+        if name not in run.leave_times:
+            run.store.remove("servers", name)
+        time.sleep(self._random.uniform(*RESTART_SECONDS))
+        if name in run.leave_times or self._stopped.is_set():
             return
         service = name.partition("-")[0]
-        again = place.start_server(name, service)
-        place.proxies[name].start_again(again.address)
-        place.servers[index] = again
-        place.enter(name, service, place.proxies[name])
+        server = run.start_server(name, service)
+        run.proxies[name].restart(server.address)
+        run.servers[index] = server
+        run.register(name, service, run.proxies[name])
 
 
 def count_late(body: bytes, servers: Iterable[platformserver.PlatformServer]) -> int:
-    """Return how many copies arrived later than the window after the third crash."""
+    """Return how many copies reached servers after the window."""
     found = list(servers)
     crashes = sorted(each.crashed_at for each in found if each.crashed_by == body)
-    if len(crashes) < RETRIES_MAX:
+    if len(crashes) < CRASHES_MIN:
         return 0
-    late_from = crashes[2] + WINDOW_SECONDS
+    late_from = crashes[CRASHES_MIN - 1] + WINDOW_SECONDS
     return sum(
         seen.at > late_from
         for server in found
--- a/bench/soakparts.py
+++ b/bench/soakparts.py
@@ -1,4 +1,4 @@
-"""Parts of the soak: a proxy that spoils connections, routers as processes, callers."""
+"""Components of the soak: fault-injecting proxies, router processes and callers."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from celeryspan import ids
 from standins import desk, platformserver
 
-DESCRIPTORS = 200
-"""What a router's process may have open: few enough that callers who leave their
-connections open come to the bound within a short run."""
+DESCRIPTORS_MAX = 200
+"""Limit of open file descriptors per router process. It is low, so that leaked
+connections reach it within a short run."""
 
-HOARD_SECONDS = 0.03
-"""Time between two connections of a hoarder."""
+LEAK_INTERVAL_SECONDS = 0.03
+"""Time between two leaked connections at one router."""
 
-PIECE = 65_536
+BUFFER_BYTES = 65_536
 CALL_SECONDS = 4.0
 READY_SECONDS = 5.0
-PROMISES = (408, 421, 429, 503)
-"""Statuses that say that a request has not run and never will."""
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses that guarantee that a request has not run and will not run."""
 
 
-class Way(enum.Enum):
-    """What a proxy does with bytes."""
+class ProxyMode(enum.Enum):
+    """How a proxy handles the data of its connections."""
 
     OPEN = "open"
     SILENT = "silent"
@@ -45,18 +45,18 @@
 
 
 class Proxy:
-    """Stands before one address and passes bytes on, or does not.
+    """Forwards connections to one address and injects faults.
 
     Attributes
     ----------
-    way : Way
-        What happens to bytes; of all connections, also those that are open.
+    mode : ProxyMode
+        How data is handled; changes apply to open connections as well.
     delay : float
-        Seconds by which each piece is late.
+        Delay of each chunk of data, in seconds.
     """
 
     def __init__(self, target: ids.Address) -> None:
-        self.way = Way.OPEN
+        self.mode = ProxyMode.OPEN
         self.delay = 0.0
         self._target = target
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=128)
@@ -75,15 +75,15 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
-        """Close everything; new connections are refused."""
+        """Close all sockets; new connections are refused."""
         self._stopped = True
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         self.reset()
 
-    def start_again(self, target: ids.Address) -> None:
-        """Listen where it did before, for another target."""
+    def restart(self, target: ids.Address) -> None:
+        """Listen on the same address again and forward to another target."""
         self._target = target
         self._stopped = False
         self._listener = socket.create_server(self.address, backlog=128)
@@ -93,29 +93,36 @@
         listener = self._listener
         while not self._stopped:
             try:
-                near, _ = listener.accept()
-                if self.way is Way.CLOSED:
-                    near.close()
+                client, _ = listener.accept()
+                if self.mode is ProxyMode.CLOSED:
+                    client.close()
                     continue
-                far = socket.create_connection(self._target, timeout=2.0)
-                far.settimeout(None)
+                server = socket.create_connection(self._target, timeout=2.0)
+                server.settimeout(None)
             except OSError:
                 continue
-            self._open |= {near, far}
-            for source, sink, back in ((near, far, False), (far, near, True)):
+            self._open |= {client, server}
+            for source, sink, is_reply in (
+                (client, server, False),
+                (server, client, True),
+            ):
                 threading.Thread(
-                    target=self._pass, args=(source, sink, back), daemon=True
+                    target=self._forward, args=(source, sink, is_reply), daemon=True
                 ).start()
 
-    def _pass(self, source: socket.socket, sink: socket.socket, back: bool) -> None:
+    def _forward(
+        self, source: socket.socket, sink: socket.socket, is_reply: bool
+    ) -> None:
         try:
-            while piece := source.recv(PIECE):
+            while data := source.recv(BUFFER_BYTES):
                 time.sleep(self.delay)
-                if self.way is Way.SILENT or (self.way is Way.ONE_WAY and back):
-                    continue  # The bytes are lost, and neither end is told.
-                sink.sendall(piece)
+                if self.mode is ProxyMode.SILENT or (
+                    self.mode is ProxyMode.ONE_WAY and is_reply
+                ):
+                    continue  # Drop the data without an error at either end.
+                sink.sendall(data)
         except OSError:
-            pass  # One end is gone; the other learns by the closing below.
+            pass  # One end has closed; the shutdown below tells the other.
         for sock in (source, sink):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -123,13 +130,13 @@
 
 
 class RouterProcess:
-    """One router as a process of its own, started again under the same addresses.
+    """One router process, which keeps its addresses when it is restarted.
 
     Attributes
     ----------
-    is_ending : bool
-        Whether a fault has asked it to end and will start it again: a second one must
-        not start a second process at the same addresses.
+    is_stopping : bool
+        Whether a fault has stopped the router and will restart it. Another fault must
+        not start a second process on the same addresses.
     """
 
     def __init__(
@@ -164,7 +171,7 @@
         }
         self._path.write_text(json.dumps(values))
         self._process: subprocess.Popen | None = None
-        self.is_ending = False
+        self.is_stopping = False
 
     def start(self) -> None:
         """Start the process."""
@@ -188,19 +195,19 @@
         assert self._process is not None
         return self._process.pid
 
-    def end(self) -> None:
-        """End the process at once."""
+    def kill(self) -> None:
+        """Kill the process and wait for its exit."""
         assert self._process is not None
         self._process.kill()
         self._process.wait()
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process that this object has started."""
+        """Send a signal to the current process."""
         assert self._process is not None
         self._process.send_signal(number)
 
     def wait(self, seconds: float) -> int | None:
-        """Wait for the end; returns the exit code, or None if it goes on."""
+        """Wait for the process to exit; returns its exit code, or None on timeout."""
         assert self._process is not None
         try:
             return self._process.wait(seconds)
@@ -208,27 +215,27 @@
             return None
 
     def is_ready(self) -> bool:
-        """Whether it says that it is ready."""
-        question = b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+        """Whether the readiness endpoint answers 200."""
+        request = b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         with contextlib.suppress(OSError):
             with socket.create_connection(self.ready, timeout=READY_SECONDS) as sock:
-                sock.sendall(question)
+                sock.sendall(request)
                 return b"200" in sock.recv(64)
         return False
 
-    def ends_by_itself(self) -> bool:
-        """Whether the process has ended though nothing asked it to."""
+    def has_exited(self) -> bool:
+        """Whether the process has exited and has not been restarted."""
         return self._process is not None and self._process.poll() is not None
 
 
 def _limit_descriptors() -> None:
-    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS_MAX, DESCRIPTORS_MAX))
 
 
-class Hoarder:
-    """Opens a connection for each request at one router, and leaves all of them open.
+class ConnectionLeaker:
+    """Sends requests to one router, each on a new connection that stays open.
 
-    It runs beside the seeded faults and draws nothing, so that they stay as they are.
+    It draws no random numbers, so that the faults of a seed do not depend on it.
     """
 
     def __init__(self, router: RouterProcess) -> None:
@@ -238,11 +245,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to open connections."""
+        """Start opening connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Open nothing more; what is open stays so."""
+        """Stop opening connections; the open ones stay open."""
         self._stopped.set()
         self._thread.join()
 
@@ -252,38 +259,38 @@
             sock.close()
 
     def _run(self) -> None:
-        question = f"GET /calls/1 HTTP/1.1\r\nHost: {desk.HOST}\r\n\r\n".encode()
-        while not self._stopped.wait(HOARD_SECONDS):
+        request = f"GET /calls/1 HTTP/1.1\r\nHost: {desk.HOST}\r\n\r\n".encode()
+        while not self._stopped.wait(LEAK_INTERVAL_SECONDS):
             with contextlib.suppress(OSError):
                 sock = socket.create_connection(self._router.front, timeout=1.0)
                 self._open.append(sock)
-                sock.sendall(question)
+                sock.sendall(request)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
-    """What a caller was told of one request.
+class Exchange:
+    """One request of a caller and its answer.
 
     Attributes
     ----------
     status : int
-        0 if there was no answer.
-    fault : str
-        What is wrong with the answer itself, or the empty text.
+        Status of the answer; 0 if there was none.
+    mismatch : str
+        How the answer does not match the request; empty if it does.
     """
 
     request: str
     path: str
     status: int
     at: float
-    fault: str = ""
+    mismatch: str = ""
 
 
 class Caller:
-    """Sends requests one after the other, as the platform's callers do."""
+    """Sends requests one at a time, as the platform's callers do."""
 
     def __init__(self, name: str, routers: list[RouterProcess], seed: str) -> None:
-        self.told: list[Told] = []
+        self.exchanges: list[Exchange] = []
         self._name = name
         self._routers = routers
         self._random = random.Random(seed)
@@ -291,11 +298,11 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending requests."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Send nothing more, and wait for the last answer."""
+        """Stop sending and wait for the last answer."""
         self._stopped.set()
         self._thread.join()
 
@@ -304,9 +311,11 @@
         while not self._stopped.wait(self._random.uniform(0.01, 0.08)):
             path = self._random.choice(("/calls/", "/bookings/", "/drafts/", "/notes/"))
             count += 1
-            self.told.append(self._ask(f"{self._name}-{count}", path + str(count)))
+            self.exchanges.append(
+                self._send(f"{self._name}-{count}", path + str(count))
+            )
 
-    def _ask(self, request: str, path: str) -> Told:
+    def _send(self, request: str, path: str) -> Exchange:
         at = time.monotonic()
         try:
             address = self._resolve()
@@ -321,13 +330,13 @@
                 }
                 connection.request(method, path, headers=headers)
                 answer = connection.getresponse()
-                fault = find_fault(request, path, answer, answer.read())
-                return Told(request, path, answer.status, at, fault)
+                mismatch = find_mismatch(request, path, answer, answer.read())
+                return Exchange(request, path, answer.status, at, mismatch)
         except (OSError, http.client.HTTPException, ValueError):
-            return Told(request, path, 0, at)
+            return Exchange(request, path, 0, at)
 
     def _resolve(self) -> ids.Address:
-        """Ask directories in random order until one answers."""
+        """Query the directories in random order until one answers."""
         for router in self._random.sample(self._routers, len(self._routers)):
             connection = http.client.HTTPConnection(*router.directory, timeout=1.0)
             try:
@@ -337,22 +346,22 @@
                 return ids.Address.parse(self._random.choice(found["addresses"]))
             except (OSError, http.client.HTTPException, ValueError, KeyError):
                 continue
-        raise OSError("no directory answers")
+        raise OSError(f"no router directory resolved {desk.HOST!r}")
 
 
-def find_fault(
+def find_mismatch(
     request: str, path: str, answer: http.client.HTTPResponse, body: bytes
 ) -> str:
-    """Return what is wrong with an answer whatever has happened, or nothing."""
-    named = answer.getheader("Celeryspan-Request-Id")
-    if named not in (None, request):
-        return f"belongs to {named}"
+    """Return how an answer does not match its request, or an empty string."""
+    answered_id = answer.getheader("Celeryspan-Request-Id")
+    if answered_id not in (None, request):
+        return f"answers request {answered_id}"
     if answer.status != 200:
         return ""
     if not answer.getheader(platformserver.SIGNATURE):
-        return "a success without signature"
+        return "status 200 without the server's signature"
     if path.startswith(("/calls/", "/bookings/")):
-        return "" if body == platformserver.BODY else f"body {body!r}"
+        return "" if body == platformserver.BODY else f"unexpected body {body!r}"
     numbers = [int(line[3:]) for line in body.split(b"\n") if line.startswith(b"id:")]
-    whole = numbers == [*range(1, platformserver.EVENTS + 1)]
-    return "" if whole else f"events {numbers}"
+    is_complete = numbers == [*range(1, platformserver.EVENTS + 1)]
+    return "" if is_complete else f"unexpected events {numbers}"
