--- a/bench/faultcallers.py
+++ b/bench/faultcallers.py
@@ -1,4 +1,4 @@
-"""Callers of the faults measurement: each remembers what it was told."""
+"""Callers of the faults measurement, which record the outcome of each request."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from standins import batch
 
 ANSWER_SECONDS = 45.0
-KEY_ATTEMPTS = 8
+ATTEMPTS_MAX = 8
 TOKENS = 25
 
 
-class Told(enum.Enum):
-    """What a caller was told in the end."""
+class Outcome(enum.Enum):
+    """The final outcome of a request; CROSSED is the answer to another request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -34,20 +34,22 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
-    """One request with all its repeats.
+class Request:
+    """One request with all its attempts.
 
     Attributes
     ----------
-    mark : str
-        Part of the path or the prompt, by which journals and answers are searched.
+    marker : str
+        Unique part of the path or prompt, to find the request in journals and answers.
+    note : str
+        Details of an outcome other than an answer.
     """
 
     kind: str
-    mark: str
-    began: float
+    marker: str
+    started: float
     ended: float = 0.0
-    told: Told = Told.UNKNOWN
+    outcome: Outcome = Outcome.UNKNOWN
     note: str = ""
 
 
@@ -55,21 +57,21 @@
     """Threads that send requests of several kinds until they are stopped."""
 
     def __init__(self, routers: list[str]) -> None:
-        self.asks: list[Ask] = []
+        self.requests: list[Request] = []
         self._routers = routers
         self._pool = urllib3.PoolManager(
             maxsize=64,
             retries=False,
             timeout=urllib3.Timeout(connect=2.0, read=ANSWER_SECONDS),
         )
-        self._marks = itertools.count(1)
+        self._markers = itertools.count(1)
         self._stopped = threading.Event()
         self._threads: list[threading.Thread] = []
 
     def start(self, kind: str, count: int, pause: float, account: str) -> None:
-        """Add callers of one kind; ``pause`` is the mean pause in seconds."""
-        for place in range(count):
-            generator = random.Random(f"{kind} {account} {place}")
+        """Start callers of one kind; ``pause`` is the mean pause in seconds."""
+        for index in range(count):
+            generator = random.Random(f"{kind} {account} {index}")
             thread = threading.Thread(
                 target=self._send_all,
                 args=(KINDS[kind], kind, generator, pause, account),
@@ -79,28 +81,30 @@
             thread.start()
 
     def flood(self, count: int, seconds: float) -> None:
-        """Send model requests of one account from many threads for a time."""
+        """Send model requests of one client account from many threads."""
         flood = Callers(self._routers)
-        flood._marks = (f"f{number}" for number in itertools.count(1))
+        flood._markers = (f"f{number}" for number in itertools.count(1))
         flood.start("model", count, 0.0, "airline")
         time.sleep(seconds)
         flood.stop()
-        self.asks += flood.asks
+        self.requests += flood.requests
 
     def stop(self) -> None:
-        """Send no more and wait for the answers that are due."""
+        """Stop sending and wait for outstanding answers."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
 
     def count(self) -> dict[str, int]:
-        """Return how many requests were told what."""
-        found = collections.Counter(ask.told.value for ask in list(self.asks))
+        """Return the number of requests by outcome."""
+        found = collections.Counter(
+            request.outcome.value for request in list(self.requests)
+        )
         return dict(found)
 
     def _send_all(
         self,
-        send: Callable[[Caller, Ask], None],
+        send: Callable[[Caller, Request], None],
         kind: str,
         generator: random.Random,
         pause: float,
@@ -108,23 +112,23 @@
     ) -> None:
         caller = Caller(self._pool, self._routers, account, generator)
         while not self._stopped.is_set():
-            ask = Ask(kind, f"m{next(self._marks)}x", time.time())
+            request = Request(kind, f"m{next(self._markers)}x", time.time())
             try:
-                send(caller, ask)
+                send(caller, request)
             except errors.RequestError as error:
-                ask.told, ask.note = judge_error(error), str(error)
+                request.outcome, request.note = classify_error(error), str(error)
             except urllib3.exceptions.HTTPError as error:
-                ask.told, ask.note = Told.UNKNOWN, repr(error)
-            ask.ended = time.time()
-            self.asks.append(ask)
+                request.outcome, request.note = Outcome.UNKNOWN, repr(error)
+            request.ended = time.time()
+            self.requests.append(request)
             if pause:
                 self._stopped.wait(generator.expovariate(1 / pause))
-            elif ask.told is Told.NOT_RUN:
+            elif request.outcome is Outcome.NOT_RUN:
                 self._stopped.wait(0.5)
 
 
 class Caller:
-    """One caller: its key, its addresses and how it sends."""
+    """One caller with its client account and address book."""
 
     def __init__(
         self,
@@ -140,7 +144,7 @@
         self._pool = pool
 
     def post(self, path: str, body: bytes, **headers: str) -> urllib3.BaseHTTPResponse:
-        """Send to the first address that accepts; nothing is sent twice."""
+        """Send once; tries another address only if nothing was sent to the last."""
         fields = {"Authorization": f"Bearer {self.account}", **headers}
         deadline = time.monotonic() + ANSWER_SECONDS
         while True:
@@ -156,114 +160,121 @@
                 self.book.drop(address)
 
 
-def send_model(caller: Caller, ask: Ask) -> None:
-    """Read a stream to its end and compare it with what the engine must write."""
+def send_model(caller: Caller, request: Request) -> None:
+    """Read a stream to its end and compare it with the expected output."""
     messages = [
         {"role": "system", "content": "You plan turnarounds. " * 8},
-        {"role": "user", "content": f"plan {ask.mark}"},
+        {"role": "user", "content": f"plan {request.marker}"},
     ]
     stream = caller.library.stream(faultfleet.MODEL, messages, max_tokens=TOKENS)
     text = "".join(stream)
     digest = batch.digest_prompt(messages)
-    if text == "".join(f"{digest}.{place} " for place in range(TOKENS)):
-        ask.told = Told.ANSWERED
+    if text == "".join(f"{digest}.{index} " for index in range(TOKENS)):
+        request.outcome = Outcome.ANSWERED
     else:
-        whole = text.count(" ") == TOKENS
-        ask.told, ask.note = Told.CROSSED if whole else Told.INCOMPLETE, text[-200:]
+        is_complete = text.count(" ") == TOKENS
+        request.outcome, request.note = (
+            Outcome.CROSSED if is_complete else Outcome.INCOMPLETE,
+            text[-200:],
+        )
 
 
-def send_unnamed(caller: Caller, ask: Ask) -> None:
-    """Send once, whatever comes."""
-    judge_answer(ask, caller.post(make_path(ask), ask.mark.encode()))
+def send_unnamed(caller: Caller, request: Request) -> None:
+    """Send a call without retries."""
+    record_answer(request, caller.post(make_path(request), request.marker.encode()))
 
 
-def send_reading(caller: Caller, ask: Ask) -> None:
-    """Send a call that the routers may repeat by themselves."""
-    path = f"/v1/services/{faultfleet.GATE}/status/{ask.mark}"
-    judge_answer(ask, caller.post(path, ask.mark.encode()))
+def send_idempotent(caller: Caller, request: Request) -> None:
+    """Send an idempotent call, which the routers may retry."""
+    path = f"/v1/services/{faultfleet.GATE}/status/{request.marker}"
+    record_answer(request, caller.post(path, request.marker.encode()))
 
 
-def send_by_library(caller: Caller, ask: Ask) -> None:
-    """Let the library repeat with a ticket."""
-    path = f"/clearances/{ask.mark}"
-    reply = caller.library.call(faultfleet.GATE, path, body=ask.mark.encode())
-    judge_body(ask, reply.status, reply.body)
+def send_by_library(caller: Caller, request: Request) -> None:
+    """Send through the client library, which retries with a ticket."""
+    path = f"/clearances/{request.marker}"
+    reply = caller.library.call(faultfleet.GATE, path, body=request.marker.encode())
+    record_body(request, reply.status, reply.body)
 
 
-def send_with_key(caller: Caller, ask: Ask) -> None:
-    """Repeat with a key through any router until the answer is clear."""
-    repeat_named(caller, ask, {"Idempotency-Key": f"key-{ask.mark}"})
+def send_with_key(caller: Caller, request: Request) -> None:
+    """Retry with an idempotency key through any router."""
+    send_with_retries(caller, request, {"Idempotency-Key": f"key-{request.marker}"})
 
 
-def send_with_ticket(caller: Caller, ask: Ask) -> None:
-    """Repeat with one ticket through any router, and once more after the answer."""
+def send_with_ticket(caller: Caller, request: Request) -> None:
+    """Retry with one ticket through any router."""
     caller.book.read(time.monotonic() + ANSWER_SECONDS)
-    repeat_named(caller, ask, {"Celeryspan-Ticket": caller.book.take_ticket()})
+    send_with_retries(caller, request, {"Celeryspan-Ticket": caller.book.take_ticket()})
 
 
-def repeat_named(caller: Caller, ask: Ask, name: dict[str, str]) -> None:
-    """Send under one name several times and keep the clearest word.
+def send_with_retries(
+    caller: Caller, request: Request, headers: dict[str, str]
+) -> None:
+    """Send until the request is answered, and in half of the cases once more.
 
-    "Not run" counts only if no attempt was left without a clear word.
+    The additional attempt must not run the request again.
+
+    The outcome is NOT_RUN only if no attempt had an unknown outcome.
     """
-    unclear = False
-    extra = caller.random.random() < 0.5
-    for _ in range(KEY_ATTEMPTS):
+    has_unknown = False
+    repeats = caller.random.random() < 0.5
+    for _ in range(ATTEMPTS_MAX):
         try:
-            answer = caller.post(make_path(ask), ask.mark.encode(), **name)
+            answer = caller.post(make_path(request), request.marker.encode(), **headers)
         except urllib3.exceptions.HTTPError as error:
-            unclear, ask.note = True, repr(error)
+            has_unknown, request.note = True, repr(error)
             continue
-        judge_answer(ask, answer)
-        unclear |= ask.told is Told.UNKNOWN
-        if ask.told is Told.ANSWERED:
-            if not extra:
-                return
-            extra = False
-            caller.post(make_path(ask), ask.mark.encode(), **name)
+        record_answer(request, answer)
+        has_unknown |= request.outcome is Outcome.UNKNOWN
+        if request.outcome is Outcome.ANSWERED:
+            if repeats:
+                caller.post(make_path(request), request.marker.encode(), **headers)
             return
         time.sleep(0.5)
-    if unclear and ask.told is Told.NOT_RUN:
-        ask.told = Told.UNKNOWN
+    if has_unknown and request.outcome is Outcome.NOT_RUN:
+        request.outcome = Outcome.UNKNOWN
 
 
-KINDS: dict[str, Callable[[Caller, Ask], None]] = {
+KINDS: dict[str, Callable[[Caller, Request], None]] = {
     "model": send_model,
     "unnamed": send_unnamed,
-    "reading": send_reading,
+    "reading": send_idempotent,
     "library": send_by_library,
     "key": send_with_key,
     "ticket": send_with_ticket,
 }
 
 
-def make_path(ask: Ask) -> str:
-    """Return the path of a clearance."""
-    return f"/v1/services/{faultfleet.GATE}/clearances/{ask.mark}"
+def make_path(request: Request) -> str:
+    """Return the path of a clearance request."""
+    return f"/v1/services/{faultfleet.GATE}/clearances/{request.marker}"
 
 
-def judge_answer(ask: Ask, answer: urllib3.BaseHTTPResponse) -> None:
-    """Note what a router's answer says."""
+def record_answer(request: Request, answer: urllib3.BaseHTTPResponse) -> None:
+    """Record the outcome in a router's answer."""
     outcome = answer.headers.get("Celeryspan-Outcome", "")
     if client.ERROR_HEADER not in answer.headers:
-        judge_body(ask, answer.status, answer.data)
+        record_body(request, answer.status, answer.data)
         return
-    ask.told = Told.NOT_RUN if outcome == "not-run" else Told.UNKNOWN
-    ask.note = answer.data.decode(errors="replace")
+    request.outcome = Outcome.NOT_RUN if outcome == "not-run" else Outcome.UNKNOWN
+    request.note = answer.data.decode(errors="replace")
 
 
-def judge_body(ask: Ask, status: int, body: bytes) -> None:
-    """Compare an answer of the gate desk with the question."""
+def record_body(request: Request, status: int, body: bytes) -> None:
+    """Compare an answer of the gate desk with the request."""
     try:
         found = json.loads(body)
-        own = found["body"] == ask.mark and found["path"].endswith(f"/{ask.mark}")
+        is_own = found["body"] == request.marker and found["path"].endswith(
+            f"/{request.marker}"
+        )
     except (ValueError, KeyError):
-        ask.told, ask.note = Told.INCOMPLETE, f"{status} {body[:200]!r}"
+        request.outcome, request.note = Outcome.INCOMPLETE, f"{status} {body[:200]!r}"
         return
-    ask.told = Told.ANSWERED if own else Told.CROSSED
-    ask.note = "" if own else body[:200].decode(errors="replace")
+    request.outcome = Outcome.ANSWERED if is_own else Outcome.CROSSED
+    request.note = "" if is_own else body[:200].decode(errors="replace")
 
 
-def judge_error(error: errors.RequestError) -> Told:
-    """Return what the library's error says."""
-    return Told.NOT_RUN if isinstance(error, errors.NotRun) else Told.UNKNOWN
+def classify_error(error: errors.RequestError) -> Outcome:
+    """Return the outcome that an error of the client library means."""
+    return Outcome.NOT_RUN if isinstance(error, errors.NotRun) else Outcome.UNKNOWN
--- a/bench/faultfleet.py
+++ b/bench/faultfleet.py
@@ -31,52 +31,52 @@
 ADDRESS_SECONDS = 2.0
 READY_SECONDS = 30.0
 
-# The bench's own connections must not be among those that it silences.
+# The bench must not use connections that it silences itself.
 CLOSE = {"Connection": "close"}
 
 
 class Relay:
-    """Passes connections on to one address, and can forget those that are open.
+    """Forwards connections to one address, and can silence those that are open.
 
-    A forgotten connection stays open and silent on both sides, as after a device
-    between the two ends has lost track of it; new ones work.
+    A silenced connection stays open at both ends but no data passes, as when a firewall
+    or NAT device drops its state. New connections work.
     """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.partition(":")
         self._target = (host, int(port))
-        self._listening = socket.create_server(("127.0.0.1", 0))
+        self._listener = socket.create_server(("127.0.0.1", 0))
         self._epoch = 0
-        self._kept: list[socket.socket] = []
-        port = self._listening.getsockname()[1]
+        self._silenced: list[socket.socket] = []
+        port = self._listener.getsockname()[1]
         self.address = f"127.0.0.1:{port}"
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def forget(self) -> None:
-        """Let all open connections go silent."""
+    def silence_open(self) -> None:
+        """Silence all open connections."""
         self._epoch += 1
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listening.accept()
-            far = socket.create_connection(self._target)
-            for pair in ((near, far), (far, near)):
+            client, _ = self._listener.accept()
+            server = socket.create_connection(self._target)
+            for pair in ((client, server), (server, client)):
                 threading.Thread(
-                    target=self._pass_on, args=(*pair, self._epoch), daemon=True
+                    target=self._forward, args=(*pair, self._epoch), daemon=True
                 ).start()
 
-    def _pass_on(self, source: socket.socket, sink: socket.socket, epoch: int) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket, epoch: int) -> None:
         with contextlib.suppress(OSError):
             while data := source.recv(65536):
                 if epoch != self._epoch:
-                    self._kept += [source, sink]
+                    self._silenced += [source, sink]
                     return
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
 
 
 class Fleet:
-    """One store, engines, gate desks and routers, each a process of its own."""
+    """A store, engines, gate desks and routers, each in its own process."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -90,62 +90,62 @@
         self.gates = [
             self._start_standin("service", "--work_seconds=0.03") for _ in range(GATES)
         ]
-        found = ports.find_ports(2 * ROUTERS)
-        self.callers = [f"127.0.0.1:{port}" for port in found[:ROUTERS]]
-        self.peers = [f"127.0.0.1:{port}" for port in found[ROUTERS:]]
+        free_ports = ports.find_ports(2 * ROUTERS)
+        self.callers = [f"127.0.0.1:{port}" for port in free_ports[:ROUTERS]]
+        self.peers = [f"127.0.0.1:{port}" for port in free_ports[ROUTERS:]]
         self.routers: list[subprocess.Popen | None] = [None] * ROUTERS
 
     @property
     def standins(self) -> list[tuple[subprocess.Popen, str]]:
-        """All stand-ins: their processes and addresses."""
+        """The processes and addresses of all stand-ins."""
         return [self.store, *self.engines, *self.gates]
 
     def start(self) -> None:
-        """Apply the first generation and start all routers."""
+        """Apply the first generation of the configuration and start all routers."""
         vms = [
-            {"name": f"entry-{place}", "address": peer, "state": "live"}
-            for place, peer in enumerate(self.peers)
+            {"name": f"entry-{index}", "address": peer, "state": "live"}
+            for index, peer in enumerate(self.peers)
         ]
         self.control(self.store, path="/_vms", vms=vms)
         self.apply()
-        for place in range(ROUTERS):
-            self.start_router(place)
+        for index in range(ROUTERS):
+            self.start_router(index)
         self.wait_ready(range(ROUTERS))
 
     def stop(self) -> None:
-        """End all processes that this fleet has started."""
+        """Kill all processes of this fleet."""
         for process in [*self.routers, *(item[0] for item in self.standins)]:
             if process is not None and process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
                 process.wait()
 
-    def start_router(self, place: int) -> None:
-        """Start one router under its own settings."""
+    def start_router(self, index: int) -> None:
+        """Start one router with its settings file."""
         settings = {
-            "router": f"entry-{place}",
-            "data_centre": DATA_CENTRES[place % 3],
-            "caller_address": self.callers[place],
-            "peer_address": self.peers[place],
+            "router": f"entry-{index}",
+            "data_centre": DATA_CENTRES[index % 3],
+            "caller_address": self.callers[index],
+            "peer_address": self.peers[index],
             "store_address": self.relay.address,
             "fleet_keys": ["fleet-key"],
             "operator_key_hashes": [hash_key(OPERATOR_KEY)],
-            "peers": [peer for peer in self.peers if peer != self.peers[place]],
+            "peers": [peer for peer in self.peers if peer != self.peers[index]],
             "address_seconds": ADDRESS_SECONDS,
             "drain_seconds": 60.0,
-            "log_file": str(self.folder / f"router-{place}.log"),
+            "log_file": str(self.folder / f"router-{index}.log"),
         }
-        path = self.folder / f"router-{place}.yaml"
+        path = self.folder / f"router-{index}.yaml"
         path.write_text(yaml.safe_dump(settings))
-        with (self.folder / f"router-{place}.err").open("ab") as errors:
-            self.routers[place] = subprocess.Popen(
+        with (self.folder / f"router-{index}.err").open("ab") as errors:
+            self.routers[index] = subprocess.Popen(
                 [BIN / "celeryspan", "router", f"--settings={path}"],
                 stdout=errors,
                 stderr=errors,
             )
 
     def apply(self, retirements: tuple[str, ...] = ()) -> None:
-        """Write a generation with the command line."""
+        """Apply a new generation of the configuration with ``celeryspan apply``."""
         register = self.folder / "register.yaml"
         rules = self.folder / "rules.yaml"
         register.write_text(yaml.safe_dump(self._make_register()))
@@ -156,31 +156,34 @@
             stdout=subprocess.DEVNULL,
         )
 
-    def wait_ready(self, places: range | list[int]) -> None:
-        """Wait until these routers name all routers to callers."""
-        ends = time.monotonic() + READY_SECONDS
-        for place in places:
-            while not self._is_ready(place):
-                if time.monotonic() > ends:
-                    raise TimeoutError(f"router {place} is not ready: {self.folder}")
+    def wait_ready(self, indexes: range | list[int]) -> None:
+        """Wait until these routers list the addresses of all routers."""
+        deadline = time.monotonic() + READY_SECONDS
+        for index in indexes:
+            while not self._is_ready(index):
+                if time.monotonic() > deadline:
+                    raise TimeoutError(
+                        f"router {index} is not ready after {READY_SECONDS} s, "
+                        f"folder {self.folder}"
+                    )
                 time.sleep(0.1)
 
     def control(
         self, standin: tuple[object, str], path: str = "/_control", **fields: object
     ) -> None:
-        """Tell a stand-in what goes wrong from now on."""
+        """Set the faults that a stand-in injects from now on."""
         self.pool.request(
             "POST", f"http://{standin[1]}{path}", json=fields, headers=CLOSE
         )
 
     def read(self, address: str, path: str, key: str = "") -> dict:
-        """Return a JSON answer."""
+        """Return the JSON object at a path."""
         headers = {"Authorization": f"Bearer {key}", **CLOSE}
         answer = self.pool.request("GET", f"http://{address}{path}", headers=headers)
         return answer.json()
 
     def count_slots(self) -> int:
-        """Return the slots in use as routers, homes and engines report them."""
+        """Return the sum of the slots in use that routers, homes and servers report."""
         total = 0
         for address in self.callers:
             services = self.read(address, "/v1/status", OPERATOR_KEY)["services"]
@@ -193,7 +196,7 @@
         return total
 
     def read_events(self, number: int) -> list[dict]:
-        """Return all events of one number from the logs of the routers."""
+        """Return all events with a number from the logs of the routers."""
         found = []
         for path in self.folder.glob("router-*.log"):
             for line in path.read_text().splitlines():
@@ -201,9 +204,9 @@
                     found.append(json.loads(line))
         return found
 
-    def _is_ready(self, place: int) -> bool:
+    def _is_ready(self, index: int) -> bool:
         try:
-            found = self.read(self.callers[place], "/v1/addresses")
+            found = self.read(self.callers[index], "/v1/addresses")
             return len(found["addresses"]) == ROUTERS
         except (urllib3.exceptions.HTTPError, ValueError, KeyError):
             return False
@@ -220,14 +223,14 @@
     def _make_register(self) -> dict:
         servers = [
             {
-                "name": f"{name}-{place}",
+                "name": f"{name}-{index}",
                 "service": name,
-                "data_centre": DATA_CENTRES[place % 3],
+                "data_centre": DATA_CENTRES[index % 3],
                 "address": address,
                 "slots": SLOTS,
             }
             for name, found in ((MODEL, self.engines), (GATE, self.gates))
-            for place, (_, address) in enumerate(found)
+            for index, (_, address) in enumerate(found)
         ]
         return {
             "firm": "vrbicky",
@@ -236,12 +239,12 @@
             ],
             "vms": [
                 {
-                    "name": f"entry-{place}",
-                    "data_centre": DATA_CENTRES[place % 3],
-                    "caller_address": self.callers[place],
-                    "peer_address": self.peers[place],
+                    "name": f"entry-{index}",
+                    "data_centre": DATA_CENTRES[index % 3],
+                    "caller_address": self.callers[index],
+                    "peer_address": self.peers[index],
                 }
-                for place in range(ROUTERS)
+                for index in range(ROUTERS)
             ],
             "services": [
                 {"name": MODEL, "kind": "model", "cost_hint": 30.0},
@@ -255,5 +258,5 @@
 
 
 def hash_key(key: str) -> str:
-    """Return what the register holds of a key."""
+    """Return the hash of a key as written in the register."""
     return hashlib.sha256(key.encode()).hexdigest()
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,8 +1,8 @@
-"""What callers are told while a fleet of real processes meets fault after fault.
+"""Injects a sequence of faults into a fleet of real processes under load.
 
-``make bench NAME=faults`` runs all of it in under 4 minutes; ``ARGUMENTS=--short``
-runs shorter spells of the same faults. The verdict compares what callers were told
-with the journals of the stand-ins. The last line is one JSON object.
+``make bench NAME=faults`` takes less than 4 minutes; ``ARGUMENTS=--short`` shortens the
+faults. The report compares the outcomes that callers saw with the journals of the
+stand-ins. The last line of the output is one JSON object.
 """
 
 from __future__ import annotations
@@ -22,8 +22,12 @@
 from bench import faultcallers, faultfleet
 
 LEAVING_SECONDS_MAX = 3.0
-QUIET_SECONDS = 20.0
-ZERO = (
+"""How long a retired server may still get work."""
+
+IDLE_SECONDS_MAX = 20.0
+"""How long slots may stay in use after the last request."""
+
+ZERO_COUNTS = (
     "false_not_run",
     "ran_twice",
     "incomplete",
@@ -31,6 +35,7 @@
     "cut_by_stop",
     "slots_leaked",
 )
+"""Fields of the report that must be 0."""
 
 CALLERS = (
     ("model", 6, 0.3, "planners"),
@@ -41,17 +46,18 @@
     ("key", 3, 0.4, "gates"),
     ("ticket", 3, 0.3, "tugs"),
 )
+"""Kind, number, mean pause in seconds and client account of the callers."""
 
 
 class Faults:
-    """The faults, one after another, and what they need to know of each other.
+    """Injects the faults one after another.
 
     Attributes
     ----------
     stops : list of (float, float)
-        Begin and end of each planned stop, in seconds since the epoch.
+        Start and end of each planned restart, in seconds since the epoch.
     leaving_seconds : float
-        Longest time after which a retired server got work, in seconds.
+        Time from the retirement of servers to the last work that they got.
     """
 
     def __init__(
@@ -64,8 +70,8 @@
         self.leaving_seconds = 0.0
 
     def run(self) -> None:
-        """Bring about each fault in turn, with a spell of calm between."""
-        for bring_about in (
+        """Inject each fault in turn, with a pause after each."""
+        for inject in (
             self.kill_router,
             self.pause_router,
             self.restart_all,
@@ -76,15 +82,17 @@
             self.retire_servers,
             self.flood,
         ):
-            began = time.monotonic()
-            bring_about()
+            started = time.monotonic()
+            inject()
             time.sleep(1.0)
-            seconds = time.monotonic() - began
-            name = bring_about.__name__
-            print(f"{name}: {seconds:.1f} s, told {self.callers.count()}", flush=True)
+            seconds = time.monotonic() - started
+            name = inject.__name__
+            print(
+                f"{name}: {seconds:.1f} s, outcomes {self.callers.count()}", flush=True
+            )
 
     def kill_router(self) -> None:
-        """Kill a router without warning, and start it again."""
+        """Kill a router with SIGKILL and restart it."""
         router = self.fleet.routers[0]
         router.kill()
         router.wait()
@@ -93,7 +101,7 @@
         self.fleet.wait_ready(range(faultfleet.ROUTERS))
 
     def pause_router(self) -> None:
-        """Pause a router for 8 s, then let it go on."""
+        """Suspend a router for 8 s."""
         router = self.fleet.routers[1]
         router.send_signal(signal.SIGSTOP)
         time.sleep(8.0)
@@ -102,30 +110,30 @@
         time.sleep(2.0)
 
     def restart_all(self) -> None:
-        """Stop and start routers one after another, gracefully."""
-        # Let what the faults before have left in the callers' hands come to its end.
+        """Restart routers gracefully, one after another."""
+        # Requests that earlier faults disturbed must end before the restart begins.
         time.sleep(2.0 if self.short else 5.0)
-        began = time.time()
-        for place in range(2 if self.short else faultfleet.ROUTERS):
-            router = self.fleet.routers[place]
+        started = time.time()
+        for index in range(2 if self.short else faultfleet.ROUTERS):
+            router = self.fleet.routers[index]
             router.send_signal(signal.SIGTERM)
             router.wait(90)
-            self.fleet.start_router(place)
-            self.fleet.wait_ready([place])
-        self.stops.append((began, time.time()))
+            self.fleet.start_router(index)
+            self.fleet.wait_ready([index])
+        self.stops.append((started, time.time()))
 
     def silence_links(self) -> None:
-        """Forget open connections to engines, gate desks, the store, and callers'."""
-        silent = [self._connect_silently() for _ in range(3)]
+        """Silence open connections of callers, engines, gate desks and the store."""
+        stalled = [self._open_stalled_request() for _ in range(3)]
         for standin in [*self.fleet.engines, *self.fleet.gates]:
             self.fleet.control(standin, silence_open=True)
-        self.fleet.relay.forget()
+        self.fleet.relay.silence_open()
         time.sleep(8.0 if self.short else 12.0)
-        for connection in silent:
+        for connection in stalled:
             connection.close()
 
     def cut_calls(self) -> None:
-        """Cut connections before, after and in the middle of calls and streams."""
+        """Cut connections before, after and during calls and streams."""
         for cut in ("before", "after", "middle"):
             for gate in self.fleet.gates:
                 self.fleet.control(gate, cut=cut, cut_count=3)
@@ -134,7 +142,7 @@
             time.sleep(2.0)
 
     def stop_store(self) -> None:
-        """Take the store down, then let it fall silent."""
+        """Take the store down, then suspend it."""
         self.fleet.control(self.fleet.store, down=True)
         time.sleep(4.0 if self.short else 15.0)
         self.fleet.control(self.fleet.store, down=False)
@@ -144,33 +152,33 @@
         time.sleep(2.0)
 
     def lose_store_answers(self) -> None:
-        """Let writes take effect unanswered, and reads answer with old values."""
+        """Apply writes without an answer, and answer reads with outdated values."""
         for _ in range(3):
             self.fleet.control(self.fleet.store, lose_answers=4, stale_reads=4)
             time.sleep(1.0 if self.short else 2.0)
         self.fleet.control(self.fleet.store, lose_answers=0, stale_reads=0)
 
     def retire_servers(self) -> None:
-        """Retire an engine and a gate desk by the rules, another by its own word."""
+        """Retire servers by the rules, and an engine by its own report."""
         retired = (f"{faultfleet.MODEL}-2", f"{faultfleet.GATE}-1")
-        began = time.time()
+        started = time.time()
         self.fleet.apply(retired)
         self.fleet.control(self.fleet.engines[1], leaving=True)
         time.sleep(8.0)
         runs = self.fleet.read(self.fleet.engines[2][1], "/_journal")["runs"]
         calls = self.fleet.read(self.fleet.gates[1][1], "/_journal")["calls"]
         last = max(item["started"] for item in [*runs, *calls])
-        self.leaving_seconds = max(0.0, last - began)
+        self.leaving_seconds = max(0.0, last - started)
         self.fleet.control(self.fleet.engines[1], leaving=False)
         self.fleet.apply()
         time.sleep(2.0)
 
     def flood(self) -> None:
-        """Let one client account send from 120 callers."""
+        """Send from 120 callers of one client account."""
         self.callers.flood(120, 4.0 if self.short else 8.0)
 
-    def _connect_silently(self) -> socket.socket:
-        """Begin a request as a caller that falls silent in its middle."""
+    def _open_stalled_request(self) -> socket.socket:
+        """Send the headers of a request but not its body."""
         host, _, port = self.fleet.callers[3].partition(":")
         connection = socket.create_connection((host, int(port)))
         head = b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 9\r\n"
@@ -179,9 +187,9 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Run the measurement; returns 0 if every promise was kept."""
-    began = time.monotonic()
-    # Without this a terminated measurement would leave its processes running.
+    """Run the measurement; returns 0 if it passes."""
+    started = time.monotonic()
+    # Exit normally on SIGTERM, so that the processes of the fleet are stopped.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     with start_fleet() as fleet:
         callers = faultcallers.Callers(fleet.callers)
@@ -191,76 +199,89 @@
         time.sleep(3.0)
         faults.run()
         callers.stop()
-        verdict = judge(faults)
-    verdict["seconds"] = round(time.monotonic() - began, 1)
-    print(json.dumps(verdict), flush=True)
-    broken = [name for name in ZERO if verdict[name]]
-    late = verdict["leaving_got_work_after_seconds"] > LEAVING_SECONDS_MAX
-    return 1 if broken or late else 0
+        report = make_report(faults)
+    report["seconds"] = round(time.monotonic() - started, 1)
+    print(json.dumps(report), flush=True)
+    failed = [name for name in ZERO_COUNTS if report[name]]
+    late = report["leaving_got_work_after_seconds"] > LEAVING_SECONDS_MAX
+    return 1 if failed or late else 0
 
 
 @contextlib.contextmanager
 def start_fleet() -> Iterator[faultfleet.Fleet]:
-    """Start all processes in a folder that is kept only on request."""
-    kept = os.environ.get("CELERYSPAN_BENCH_FOLDER")
+    """Start all processes; ``CELERYSPAN_BENCH_FOLDER`` names a folder to keep."""
+    chosen = os.environ.get("CELERYSPAN_BENCH_FOLDER")
     with contextlib.ExitStack() as stack:
-        folder = kept or stack.enter_context(tempfile.TemporaryDirectory())
+        folder = chosen or stack.enter_context(tempfile.TemporaryDirectory())
         fleet = faultfleet.Fleet(pathlib.Path(folder))
         stack.callback(fleet.stop)
         fleet.start()
         yield fleet
 
 
-def judge(faults: Faults) -> dict[str, object]:
-    """Compare what callers were told with what the journals hold."""
-    fleet, asks = faults.fleet, faults.callers.asks
-    slots = wait_quiet(fleet)
+def make_report(faults: Faults) -> dict[str, object]:
+    """Compare the outcomes that callers saw with the journals of the stand-ins."""
+    fleet, requests = faults.fleet, faults.callers.requests
+    slots = wait_until_idle(fleet)
     runs = count_runs(fleet)
-    told = collections.Counter(ask.told for ask in asks)
-    not_run = [ask for ask in asks if ask.told is faultcallers.Told.NOT_RUN]
-    broken = {
-        "false_not_run": [ask for ask in not_run if runs[ask.mark]],
-        "incomplete": [ask for ask in asks if ask.told is faultcallers.Told.INCOMPLETE],
-        "crossed": [ask for ask in asks if ask.told is faultcallers.Told.CROSSED],
-        "cut_by_stop": [ask for ask in asks if is_cut(ask, faults.stops)],
+    outcomes = collections.Counter(request.outcome for request in requests)
+    not_run = [
+        request
+        for request in requests
+        if request.outcome is faultcallers.Outcome.NOT_RUN
+    ]
+    failures = {
+        "false_not_run": [request for request in not_run if runs[request.marker]],
+        "incomplete": [
+            request
+            for request in requests
+            if request.outcome is faultcallers.Outcome.INCOMPLETE
+        ],
+        "crossed": [
+            request
+            for request in requests
+            if request.outcome is faultcallers.Outcome.CROSSED
+        ],
+        "cut_by_stop": [
+            request for request in requests if is_cut_by_stop(request, faults.stops)
+        ],
     }
-    for name, found in broken.items():
-        for ask in found[:5]:
-            print(f"{name}: {ask}")
-    check_journals(asks, runs)
-    readings = {ask.mark for ask in asks if ask.kind == "reading"}
+    for name, found in failures.items():
+        for request in found[:5]:
+            print(f"{name}: {request}")
+    check_journals(requests, runs)
+    idempotent = {request.marker for request in requests if request.kind == "reading"}
     repeated = [name for name, count in runs.items() if count > 1]
-    twice = [name for name in repeated if name not in readings]
+    twice = [name for name in repeated if name not in idempotent]
     if twice:
         print(f"ran twice: {twice[:10]}")
     return {
-        "asked": len(asks),
-        "answered": told[faultcallers.Told.ANSWERED],
-        "not_run": told[faultcallers.Told.NOT_RUN],
-        "unknown": told[faultcallers.Told.UNKNOWN],
-        "false_not_run": len(broken["false_not_run"]),
+        "asked": len(requests),
+        "answered": outcomes[faultcallers.Outcome.ANSWERED],
+        "not_run": outcomes[faultcallers.Outcome.NOT_RUN],
+        "unknown": outcomes[faultcallers.Outcome.UNKNOWN],
+        "false_not_run": len(failures["false_not_run"]),
         "ran_twice": len(twice),
-        "incomplete": len(broken["incomplete"]),
-        "crossed": len(broken["crossed"]),
-        "cut_by_stop": len(broken["cut_by_stop"]) + len(fleet.read_events(105)),
+        "incomplete": len(failures["incomplete"]),
+        "crossed": len(failures["crossed"]),
+        "cut_by_stop": len(failures["cut_by_stop"]) + len(fleet.read_events(105)),
         "leaving_got_work_after_seconds": round(faults.leaving_seconds, 2),
         "slots_leaked": slots,
     }
 
 
-def wait_quiet(fleet: faultfleet.Fleet) -> int:
-    """Return the slots that stay in use though nobody asks any more."""
-    ends = time.monotonic() + QUIET_SECONDS
-    while (slots := fleet.count_slots()) and time.monotonic() < ends:
+def wait_until_idle(fleet: faultfleet.Fleet) -> int:
+    """Wait until no slot is in use; returns the slots in use after a timeout."""
+    deadline = time.monotonic() + IDLE_SECONDS_MAX
+    while (slots := fleet.count_slots()) and time.monotonic() < deadline:
         time.sleep(0.5)
     return slots
 
 
 def count_runs(fleet: faultfleet.Fleet) -> collections.Counter[str]:
-    """Return how often each mark or request was carried out.
+    """Return how often each marker or request was executed.
 
-    The runs of an engine are counted by the id of the request, without the number of
-    the attempt.
+    Runs of an engine are counted by request id without the attempt number.
     """
     runs: collections.Counter[str] = collections.Counter()
     for _, address in fleet.gates:
@@ -273,27 +294,29 @@
 
 
 def check_journals(
-    asks: list[faultcallers.Ask], runs: collections.Counter[str]
+    requests: list[faultcallers.Request], runs: collections.Counter[str]
 ) -> None:
-    """Check that the journals hold what was answered, or the verdict means nothing.
+    """Check that journals have all answered requests, else the report is meaningless.
 
     Raises
     ------
     RuntimeError
-        If a clearance was answered that no journal holds.
+        If an answered clearance is missing from all journals.
     """
-    for ask in asks:
-        answered = ask.told is faultcallers.Told.ANSWERED
-        if answered and ask.kind != "model" and not runs[ask.mark]:
-            raise RuntimeError(f"answered, but in no journal: {ask}")
-
-
-def is_cut(ask: faultcallers.Ask, stops: list[tuple[float, float]]) -> bool:
-    """Say whether a request failed while nothing but planned stops went on."""
-    failed = ask.told in (
-        faultcallers.Told.UNKNOWN,
-        faultcallers.Told.INCOMPLETE,
+    for request in requests:
+        is_answered = request.outcome is faultcallers.Outcome.ANSWERED
+        if is_answered and request.kind != "model" and not runs[request.marker]:
+            raise RuntimeError(f"answered request is in no journal: {request}")
+
+
+def is_cut_by_stop(
+    request: faultcallers.Request, stops: list[tuple[float, float]]
+) -> bool:
+    """Return whether a request failed entirely within a planned restart."""
+    is_failed = request.outcome in (
+        faultcallers.Outcome.UNKNOWN,
+        faultcallers.Outcome.INCOMPLETE,
     )
-    return failed and any(
-        begin <= ask.began and ask.ended <= end + 1.0 for begin, end in stops
+    return is_failed and any(
+        start <= request.started and request.ended <= end + 1.0 for start, end in stops
     )
