--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -58,28 +58,28 @@
 
 
 @policy("all after three crashes")
-def _count_all(known: quarantine.Quarantine, whole: int) -> Standing:
-    suspect = known.find_suspect(whole)
+def _count_all(replica: quarantine.Quarantine, whole: int) -> Standing:
+    suspect = replica.find_suspect(whole)
     is_quarantined = suspect is not None and len(suspect.strikes) >= 3
     return Standing.QUARANTINED if is_quarantined else Standing.CLEAR
 
 
 @policy("answers acquit")
-def _count_unanswered(known: quarantine.Quarantine, whole: int) -> Standing:
-    suspect = known.find_suspect(whole)
+def _count_unanswered(replica: quarantine.Quarantine, whole: int) -> Standing:
+    suspect = replica.find_suspect(whole)
     strikes = quarantine.list_strikes(suspect) if suspect else ()
     return Standing.QUARANTINED if len(strikes) >= 3 else Standing.CLEAR
 
 
 @policy("without isolation")
-def _decide_without_isolation(known: quarantine.Quarantine, whole: int) -> Standing:
-    standing = known.find_standing(whole)
+def _decide_without_isolation(replica: quarantine.Quarantine, whole: int) -> Standing:
+    standing = replica.find_standing(whole)
     return Standing.CLEAR if standing is Standing.ISOLATED else standing
 
 
 @policy("current policy")
-def _decide(known: quarantine.Quarantine, whole: int) -> Standing:
-    return known.find_standing(whole)
+def _decide(replica: quarantine.Quarantine, whole: int) -> Standing:
+    return replica.find_standing(whole)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/bench/engines/trial.py
+++ b/bench/engines/trial.py
@@ -103,34 +103,34 @@
 
     def share_in_time(self, kind: str) -> float:
         """Return the fraction of a kind that was answered on time."""
-        found = self.find(kind)
-        return sum(outcome.in_time for outcome in found) / max(1, len(found))
+        outcomes = self.find(kind)
+        return sum(outcome.in_time for outcome in outcomes) / max(1, len(outcomes))
 
     def share_served(self, kind: str) -> float:
         """Return the fraction of a kind that was answered."""
-        found = self.find(kind)
-        return sum(outcome.is_ended for outcome in found) / max(1, len(found))
+        outcomes = self.find(kind)
+        return sum(outcome.is_ended for outcome in outcomes) / max(1, len(outcomes))
 
     def share_of_served_in_time(self, kind: str) -> float:
         """Return the fraction of the answered requests that were on time."""
-        found = [outcome for outcome in self.find(kind) if outcome.is_ended]
-        return sum(outcome.in_time for outcome in found) / max(1, len(found))
+        outcomes = [outcome for outcome in self.find(kind) if outcome.is_ended]
+        return sum(outcome.in_time for outcome in outcomes) / max(1, len(outcomes))
 
     def share_with_late_gap(self, kind: str) -> float:
         """Return the fraction of a kind whose longest gap exceeded the limit."""
-        found = self.find(kind)
-        late = [each for each in found if each.gap > each.arrival.ask.gap_max]
-        return len(late) / max(1, len(found))
+        outcomes = self.find(kind)
+        late = [each for each in outcomes if each.gap > each.arrival.ask.gap_max]
+        return len(late) / max(1, len(outcomes))
 
     def share_with_late_first(self, kind: str) -> float:
         """Return the fraction of a kind whose first event missed the objective."""
-        found = self.find(kind)
+        outcomes = self.find(kind)
         late = [
             each
-            for each in found
+            for each in outcomes
             if each.first is not None and each.first > each.arrival.ask.objective
         ]
-        return len(late) / max(1, len(found))
+        return len(late) / max(1, len(outcomes))
 
 
 def measure_utilisation(
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -61,7 +61,7 @@
     ----------
     crashed : list of PlatformServer
         Incarnations of servers that have crashed.
-    incarnations : dict of str to int
+    start_times : dict of str to int
         Start time of the current incarnation by server, in milliseconds since the
         epoch.
     leave_times : dict of str to float
@@ -80,7 +80,7 @@
         self.stopping = threading.Event()
         self.servers: list[platformserver.PlatformServer] = []
         self.crashed: list[platformserver.PlatformServer] = []
-        self.incarnations: dict[str, int] = {}
+        self.start_times: dict[str, int] = {}
         self.leave_times: dict[str, float] = {}
         self.events: list[str] = []
         self.unexpected_exits = 0
@@ -131,7 +131,7 @@
         server.event_seconds = 0.02
         server.fatal = soakfatal.BODIES
         server.start()
-        self.incarnations[name] = time.time_ns() // 1_000_000
+        self.start_times[name] = time.time_ns() // 1_000_000
         return server
 
     def list_incarnations(self) -> list[platformserver.PlatformServer]:
@@ -147,7 +147,7 @@
     ) -> None:
         """Write the entry of a backend server to the store."""
         spec = desk.make_entry(
-            service, proxy.address, state=state, born=self.incarnations[name]
+            service, proxy.address, state=state, born=self.start_times[name]
         )
         self.store.put("servers", name, spec)
 
