--- a/bench/admission.py
+++ b/bench/admission.py
@@ -193,7 +193,7 @@
     for index in range(400):
         cost = 500.0 if index % 8 == 0 else 10.0
         at = 0.1 * index + rng.random()
-        calls.append(one_router.Call(at, "a", cost, patience=120.0, hint=cost))
+        calls.append(one_router.Call(at, "a", cost, attempt_timeout=120.0, hint=cost))
     kept, queueing.MAX_LONG_SLOT_SHARE = queueing.MAX_LONG_SLOT_SHARE, share
     try:
         records = router.run(calls)
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -1,7 +1,7 @@
-"""The bound on the fairness gap, computed for one replay.
+"""Computes the upper bound on the fairness gap of one replay.
 
-``docs/design/sharing.md`` derives it. It holds for whatever the costs are; what enters
-from the run is how many slots each account held at most at once.
+The derivation is in ``docs/design/sharing.md``. The bound holds for any costs. The only
+measured input is the greatest number of slots that each account held at once.
 """
 
 from __future__ import annotations
@@ -16,49 +16,56 @@
     from bench import traces
 
 
-def find_bound(owner: world.World) -> float:
-    """Return the greatest gap that the derivation allows, in cost units per weight."""
-    return max((_find_service(owner, item) for item in owner.services), default=0.0)
+def compute_gap_bound(simulation: world.World) -> float:
+    """Return the upper bound on the fairness gap, in cost units per weight."""
+    return max(
+        (_compute_service_bound(simulation, item) for item in simulation.services),
+        default=0.0,
+    )
 
 
-def _find_service(owner: world.World, service: str) -> float:
-    accounts = sorted(owner.trace.accounts)
+def _compute_service_bound(simulation: world.World, service: str) -> float:
+    accounts = sorted(simulation.trace.accounts)
     costs: dict[str, list[float]] = {account: [] for account in accounts}
-    for request in owner.trace.requests:
+    for request in simulation.trace.requests:
         if request.service == service:
             costs[request.account].append(request.cost)
-    every = [cost for found in costs.values() for cost in found]
-    if not every:
+    all_costs = [cost for account_costs in costs.values() for cost in account_costs]
+    if not all_costs:
         return 0.0
-    charge = slotcharge.SLOT_CHARGE * max(sum(every) / len(every), _mean_hint(owner))
-    stale = _find_staleness(owner, service)
-    sides = []
+    charge = slotcharge.SLOT_CHARGE * max(
+        sum(all_costs) / len(all_costs), _compute_mean_hint(simulation)
+    )
+    unreported = _compute_unreported_service(simulation, service)
+    account_bounds = []
     for account in accounts:
-        weight = owner.trace.accounts[account]
-        held = owner.measures.most_held.get((service, account), 0)
+        weight = simulation.trace.accounts[account]
+        held = simulation.measures.most_held.get((service, account), 0)
         streaming = sum(heapq.nlargest(held, costs[account])) / weight
         charged = 3.0 * charge * held / weight
-        sides.append(streaming + charged + 2.0 * stale / weight)
-    return sum(heapq.nlargest(2, sides))
+        account_bounds.append(streaming + charged + 2.0 * unreported / weight)
+    return sum(heapq.nlargest(2, account_bounds))
 
 
-def _mean_hint(owner: world.World) -> float:
-    hints = [item.hint for item in owner.trace.requests if item.hint is not None]
+def _compute_mean_hint(simulation: world.World) -> float:
+    hints = [item.hint for item in simulation.trace.requests if item.hint is not None]
     return sum(hints) / len(hints) if hints else 0.0
 
 
-def _find_staleness(owner: world.World, service: str) -> float:
-    """Return the service that a home may not have heard of, in cost units."""
-    servers = [spec for spec in owner.trace.servers if spec.service == service]
+def _compute_unreported_service(simulation: world.World, service: str) -> float:
+    """Return the service that a home may not have been told of, in cost units."""
+    servers = [spec for spec in simulation.trace.servers if spec.service == service]
     rate = sum(spec.slots * spec.rate for spec in servers)
-    seconds = node.TICK_SECONDS + owner.trace.link_seconds + world.RETRANSMIT_SECONDS
+    seconds = (
+        node.TICK_SECONDS + simulation.trace.link_seconds + world.RETRANSMIT_SECONDS
+    )
     seconds += grants.LIFT_WARMUP_SECONDS
-    seconds += _find_unheard(owner.trace)
-    return owner.trace.routers * reporting.MAX_UNREPORTED_UNITS + rate * seconds
+    seconds += _sum_outage_seconds(simulation.trace)
+    return simulation.trace.routers * reporting.MAX_UNREPORTED_UNITS + rate * seconds
 
 
-def _find_unheard(trace: traces.Trace) -> float:
-    """Return for how long parts of the fleet do not hear each other, in seconds."""
+def _sum_outage_seconds(trace: traces.Trace) -> float:
+    """Return for how long partitions and restarts delay reports, in seconds."""
     end = trace.requests[-1].at if trace.requests else 0.0
     heals = [fault.at for fault in trace.faults if fault.kind == "heal"]
     total = 0.0
--- a/bench/fits.py
+++ b/bench/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points: a slope, not a point, with its error."""
+"""Fits a line to values measured at several sizes, and reports its error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import numpy
 
 REPEATS = 3
-"""Runs of each size, of which the fastest counts: others work on the machine."""
+"""Runs per size. The fastest is used, because other load only adds time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,9 +21,9 @@
     unit : str
         Unit of the slope, such as ``"us per grant"``.
     slope, base : float
-        Value for each further item, and for none.
+        Value of each additional item, and value without items.
     error : float
-        Greatest distance of a point from the line, as a share of the greatest value.
+        Greatest residual, as a fraction of the greatest value.
     """
 
     name: str
@@ -36,11 +36,11 @@
 
 
 def fit(name: str, unit: str, sizes: Sequence[int], values: Sequence[float]) -> Slope:
-    """Fit a line by least squares of the relative distances."""
+    """Fit a line by least squares of the relative residuals."""
     weights = 1.0 / numpy.maximum(numpy.abs(numpy.array(values)), 1e-9)
     slope, base = numpy.polyfit(sizes, values, 1, w=weights)
-    away = numpy.abs(numpy.polyval((slope, base), sizes) - values)
-    error = float(away.max() / max(abs(value) for value in values))
+    residuals = numpy.abs(numpy.polyval((slope, base), sizes) - values)
+    error = float(residuals.max() / max(abs(value) for value in values))
     return Slope(
         name,
         unit,
@@ -53,11 +53,11 @@
 
 
 def time_call(prepare: Callable[[int], Callable[[], object]], size: int) -> float:
-    """Return the least processor time of a prepared call, in microseconds."""
+    """Return the shortest processor time of a prepared call, in microseconds."""
     times = []
     for _ in range(REPEATS):
         call = prepare(size)
-        began = time.process_time()
+        started = time.process_time()
         call()
-        times.append(time.process_time() - began)
+        times.append(time.process_time() - started)
     return min(times) * 1e6
--- a/bench/one_router.py
+++ b/bench/one_router.py
@@ -1,8 +1,9 @@
-"""One router under load on a virtual clock: real decisions, small fake servers.
+"""Simulates one router with fake backend servers on a virtual clock.
 
-Shared by the measurements and by the tests that are judged by what callers receive.
-Slots are given to the backlogged account with the least service received, which stands
-for the homes; everything else is decided by the modules under `celeryspan.decisions`.
+Shared by the measurements and by the tests that check the results that callers receive.
+The router assigns each free slot to the backlogged account with the least service
+received, in place of the grants that homes issue. All other decisions come from the
+modules under `celeryspan.decisions`.
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
 from celeryspan.decisions import admission, outliers, queueing, retries, routing
 
 SERVICE = ids.ServiceId("planner-llm")
-ALL = ids.AccountId("all")
+SHARED_ACCOUNT = ids.AccountId("all")
 CONSTANT_RETRY_SECONDS = 1.0
-ENDLESS = 1e9
-PATIENCE = 300.0
+UNLIMITED_SECONDS = 1e9
+ATTEMPT_TIMEOUT_SECONDS = 300.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """What one caller wants.
+    """One request of a caller, with its timeouts and its cost.
 
     Attributes
     ----------
-    patience : float
+    attempt_timeout : float
         Seconds that one attempt may take.
-    persistence : float
-        Seconds after the first attempt in which a refused caller asks again.
+    retry_period : float
+        Seconds after the first attempt in which a refused caller retries.
     prompt : tuple of int
         Blocks of the prompt; each takes `Router.block_seconds` if not cached.
     """
@@ -43,8 +44,8 @@
     at: float
     account: str
     cost: float
-    patience: float = PATIENCE
-    persistence: float = 0.0
+    attempt_timeout: float = ATTEMPT_TIMEOUT_SECONDS
+    retry_period: float = 0.0
     prompt: tuple[int, ...] = ()
     hint: float | None = None
     idempotent: bool = True
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """What one caller received."""
+    """The result of one call, over all its attempts."""
 
     call: Call
     attempts: int = 0
@@ -65,12 +66,12 @@
 
 
 class Server:
-    """A backend server with slots, a speed, a prompt cache and faults.
+    """A fake backend server with slots, a speed, a prompt cache and failures.
 
     Parameters
     ----------
     rate : float
-        Cost units a second of one slot.
+        Cost units per second of one slot.
     """
 
     def __init__(
@@ -88,21 +89,21 @@
         self.events: list[tuple[float, routing.CacheEvent]] = []
 
     def sum_running(self, now: float) -> tuple[float, float]:
-        """Return seconds since the first unit and units given, of running requests."""
+        """Return total decode seconds and total cost units of the running requests."""
         seconds = [
             max(0.0, now - started - prompt)
             for started, prompt, _ in self.running.values()
         ]
         rates = [rate for _, _, rate in self.running.values()]
-        units = [one * rate for one, rate in zip(seconds, rates, strict=True)]
+        units = [elapsed * rate for elapsed, rate in zip(seconds, rates, strict=True)]
         return sum(seconds), sum(units)
 
     def count_cached(self, prompt: tuple[int, ...]) -> int:
-        """Return how many leading blocks need no computing."""
+        """Return how many leading blocks of a prompt are cached."""
         return len(list(itertools.takewhile(lambda block: block in self.cache, prompt)))
 
     def store(self, prompt: tuple[int, ...], now: float) -> None:
-        """Keep the blocks of a prompt, evicting the least recently used."""
+        """Cache the blocks of a prompt, evicting the least recently used."""
         for block in prompt:
             if block not in self.cache:
                 self._publish(True, block, now)
@@ -121,7 +122,7 @@
 
 
 def register_admission(name: str) -> Callable[[Admit], Admit]:
-    """Make a way to admit requests known by name."""
+    """Register an admission policy under a name."""
 
     def add(function: Admit) -> Admit:
         ADMISSIONS[name] = function
@@ -134,7 +135,7 @@
 def admit_by_drain_rate(
     router: Router, work: dispatch.Work, estimate: float
 ) -> admission.AdmissionResult:
-    """Admit as the package does."""
+    """Apply the admission control of the package."""
     return router.admission.admit(
         work, router.body_bytes, estimate, router.now, router.rng.random()
     )
@@ -144,7 +145,7 @@
 def admit_all(
     router: Router, work: dispatch.Work, estimate: float
 ) -> admission.AdmissionResult:
-    """Admit everything."""
+    """Admit every request."""
     return admission.Admitted(router.queues.add(work, 1, estimate, router.now))
 
 
@@ -152,7 +153,7 @@
 def admit_by_count(
     router: Router, work: dispatch.Work, estimate: float
 ) -> admission.AdmissionResult:
-    """Refuse above a fixed number of waiting requests, each for the same time."""
+    """Refuse above a fixed queue length, with a constant retry delay."""
     if router.queues.waiting(work.service, work.account) >= admission.MAX_WAITING:
         reason = admission.Reason.QUEUE_FULL
         return admission.Refused(work.request, reason, CONSTANT_RETRY_SECONDS)
@@ -161,7 +162,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mechanisms:
-    """Which decisions are in force, to measure each against its absence."""
+    """Mechanisms that are enabled, so that each can be compared with its absence."""
 
     admission: str = "celeryspan"
     account_queues: bool = True
@@ -173,7 +174,7 @@
 
 
 class Router:
-    """Plays calls against servers and records what each caller received.
+    """Simulates calls to the servers and records the result of each.
 
     Attributes
     ----------
@@ -190,14 +191,14 @@
         mechanisms: Mechanisms | None = None,
         seed: int = 1,
         body_bytes: int = 1000,
-        bounds: admission.AdmissionLimits | None = None,
+        limits: admission.AdmissionLimits | None = None,
     ) -> None:
         self.servers = {server.name: server for server in servers}
         self.mechanisms = mechanisms or Mechanisms()
         self.rng = random.Random(seed)
         self.body_bytes = body_bytes
         self.queues = queueing.Queues()
-        self.admission = admission.Admission(self.queues, bounds)
+        self.admission = admission.Admission(self.queues, limits)
         self.cache = routing.CacheMap()
         self.routing = routing.AffinityRouting(self.cache)
         self.outliers = outliers.OutlierDetector()
@@ -211,8 +212,8 @@
         for server in servers:
             self.outliers.add(server.name, 0.0)
 
-    def run(self, calls: list[Call], until: float = ENDLESS) -> list[Record]:
-        """Play all calls and return a record of each."""
+    def run(self, calls: list[Call], until: float = UNLIMITED_SECONDS) -> list[Record]:
+        """Simulate all calls and return a record of each."""
         for call in calls:
             record = Record(call)
             self.records.append(record)
@@ -225,64 +226,64 @@
         return self.records
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Do something at a later time, such as a change to a server."""
+        """Schedule an action at a virtual time, such as a change to a server."""
         heapq.heappush(self._events, (max(time, self.now), next(self._order), action))
 
     def _tick(self) -> None:
-        """Each second: trials of ejected servers, and cache events that lag."""
+        """Start due trials of ejected servers and apply cache events, each second."""
         self.outliers.start_due_trials(self.now)
         for server in self.servers.values():
-            self._take_cache_events(server)
+            self._apply_cache_events(server)
             if self.mechanisms.ejection:
                 sums = server.sum_running(self.now)
                 self.outliers.record_running(server.name, *sums, self.now)
         if self._events or self._by_request:
             self.at(self.now + 1.0, self._tick)
 
-    def _take_cache_events(self, server: Server) -> None:
+    def _apply_cache_events(self, server: Server) -> None:
         after = self.cache.last_sequence(server.name)
         until = self.now - self.mechanisms.event_lag
         ready = [event for at, event in server.events[after:] if at <= until]
         if not ready:
             return
-        kept = [
+        delivered = [
             event for event in ready if self.rng.random() >= self.mechanisms.event_loss
         ]
-        self.cache.apply_events(server.name, kept, ready[-1].sequence, self.now)
+        self.cache.apply_events(server.name, delivered, ready[-1].sequence, self.now)
 
     def _arrive(self, record: Record, attempt: int = 1, excluded=frozenset()) -> None:
         call = record.call
         record.attempts += 1
         record.attempt_at = self.now
-        account = call.account if self.mechanisms.account_queues else ALL
+        account = call.account if self.mechanisms.account_queues else SHARED_ACCOUNT
         work = dispatch.Work(
             ids.RequestId(f"r{next(self._order)}"),
             SERVICE,
             ids.AccountId(account),
-            self.now + call.patience,
+            self.now + call.attempt_timeout,
             call.hint,
             call.prompt,
             excluded,
         )
         if self.mechanisms.affinity == "pinned":
-            work = self._pin(work)
-        self._lift(work.account)
+            work = self._pin_to_server(work)
+        self._raise_to_least_received(work.account)
         estimate = call.hint if call.hint is not None else call.cost
-        verdict = ADMISSIONS[self.mechanisms.admission](self, work, estimate)
-        if isinstance(verdict, admission.Refused):
-            self._refused(record, verdict)
+        decision = ADMISSIONS[self.mechanisms.admission](self, work, estimate)
+        if isinstance(decision, admission.Refused):
+            self._handle_refusal(record, decision)
             return
         self._by_request[work.request] = (record, attempt)
-        self.at(verdict.entry.start_by, self._expire)
-        for refusal in verdict.shed:
+        self.at(decision.entry.start_by, self._expire)
+        for refusal in decision.shed:
             shed, _ = self._by_request.pop(refusal.request)
-            self._refused(shed, refusal)
+            self._handle_refusal(shed, refusal)
 
-    def _refused(self, record: Record, refusal: admission.Refused) -> None:
+    def _handle_refusal(self, record: Record, refusal: admission.Refused) -> None:
         record.code, record.ended_at = refusal.reason.value, self.now
-        back = self.now + refusal.retry_after
-        if back <= record.call.at + record.call.persistence:
-            self.at(back, lambda: self._arrive(record))
+        retry_at = self.now + refusal.retry_after
+        if retry_at <= record.call.at + record.call.retry_period:
+            self.at(retry_at, lambda: self._arrive(record))
 
     def _expire(self) -> None:
         for entry in self.queues.expire(self.now):
@@ -290,29 +291,33 @@
             refusal = self.admission.refuse(
                 entry.work, admission.Reason.EXPIRED, self.now, self.rng.random()
             )
-            self._refused(record, refusal)
+            self._handle_refusal(record, refusal)
 
-    def _room(self, server: Server) -> int:
+    def _count_free_slots(self, server: Server) -> int:
         slots = server.slots
         if self.mechanisms.ejection:
             slots = self.outliers.slots(server.name, slots)
         return slots - server.in_use
 
     def _dispatch(self) -> None:
-        while self._give_next():
+        while self._assign_next_slot():
             pass
 
-    def _give_next(self) -> bool:
-        """Give one free slot to the account with the least service received."""
-        free = [one for one in self.servers.values() if self._room(one) > 0]
+    def _assign_next_slot(self) -> bool:
+        """Assign one free slot to the account with the least service received."""
+        free = [
+            server
+            for server in self.servers.values()
+            if self._count_free_slots(server) > 0
+        ]
         if not free:
             return False
         self.rng.shuffle(free)
-        free.sort(key=lambda one: one.in_use / one.slots)
+        free.sort(key=lambda server: server.in_use / server.slots)
         accounts = [account for _, account in self.queues.backlogged()]
         accounts.sort(key=lambda account: (self._received[account], account))
         return any(
-            self._give(server, account)
+            self._assign_slot(server, account)
             for account in accounts
             for server in self._order_by_affinity(account, free)
         )
@@ -320,41 +325,45 @@
     def _order_by_affinity(
         self, account: ids.AccountId, free: list[Server]
     ) -> list[Server]:
-        """Put the server first that suits the first request in line."""
+        """Return the servers, with the best one for the oldest request first."""
         entry = self.queues.oldest(SERVICE, account)
         if self.mechanisms.affinity != "celeryspan" or entry is None:
             return free
         candidates = [
-            routing.Candidate(one.name, one.slots, one.in_use) for one in free
+            routing.Candidate(server.name, server.slots, server.in_use)
+            for server in free
         ]
         best = self.routing.choose_server(entry.work, candidates, self.now, self.rng)
-        return sorted(free, key=lambda one: one.name != best)
+        return sorted(free, key=lambda server: server.name != best)
+
+    def _raise_to_least_received(self, account: ids.AccountId) -> None:
+        """Raise an account to the least service received by a backlogged account.
 
-    def _lift(self, account: ids.AccountId) -> None:
-        """Idle time saves no credit: start from the least among the backlogged."""
+        Otherwise an account would accumulate credit while it is idle.
+        """
         others = [other for _, other in self.queues.backlogged()]
         if others and account not in others:
             least = min(self._received[other] for other in others)
             self._received[account] = max(self._received[account], least)
 
-    def _give(self, server: Server, account: ids.AccountId) -> bool:
-        fit = None
+    def _assign_slot(self, server: Server, account: ids.AccountId) -> bool:
+        affinity = None
         if self.mechanisms.affinity != "none":
-            fit = self._make_fit(server)
-        entry = self.queues.pick(SERVICE, account, server.name, self.now, fit)
+            affinity = self._make_affinity(server)
+        entry = self.queues.pick(SERVICE, account, server.name, self.now, affinity)
         if entry is None:
             return False
         self._received[account] += entry.cost_estimate
         self._send(server, entry)
         return True
 
-    def _make_fit(self, server: Server) -> queueing.Affinity:
+    def _make_affinity(self, server: Server) -> queueing.Affinity:
         if self.mechanisms.affinity == "here":
             return lambda work: self.cache.expected_blocks(server.name, work.prefix)
         return lambda work: self.routing.affinity(server.name, work)
 
-    def _pin(self, work: dispatch.Work) -> dispatch.Work:
-        """Let a prompt go to the rendezvous of its prefix only."""
+    def _pin_to_server(self, work: dispatch.Work) -> dispatch.Work:
+        """Restrict a request to the server that rendezvous hashing picks."""
         best = max(
             self.servers,
             key=lambda name: routing.rendezvous_weight(name, work.prefix[0]),
@@ -377,13 +386,15 @@
         if failed:
             seconds = self.failure_seconds
         expected = self.cache.record_sent(server.name, record.call.prompt, self.now)
-        known = (expected, cached)
+        block_counts = (expected, cached)
         self.at(
             self.now + seconds,
-            lambda: self._end(server, entry, record, attempt, seconds, failed, known),
+            lambda: self._handle_end(
+                server, entry, record, attempt, seconds, failed, block_counts
+            ),
         )
 
-    def _end(
+    def _handle_end(
         self,
         server: Server,
         entry: queueing.QueuedRequest,
@@ -391,7 +402,7 @@
         attempt: int,
         seconds: float,
         failed: bool,
-        known: tuple[int, int],
+        block_counts: tuple[int, int],
     ) -> None:
         server.in_use -= 1
         del server.running[entry.work.request]
@@ -402,17 +413,17 @@
         if self.mechanisms.ejection:
             self.outliers.record(server.name, failed, seconds, call.cost, self.now)
         if failed:
-            self._failed(server, entry, record, attempt)
+            self._handle_failure(server, entry, record, attempt)
             return
         server.store(call.prompt, self.now)
-        self.cache.record_cached(server.name, *known)
+        self.cache.record_cached(server.name, *block_counts)
         self.retries.record_success(SERVICE)
         record.ended_at = self.now
         record.code = "late"
         if self.now <= entry.work.deadline:
             record.answered_at, record.code = self.now, "answered"
 
-    def _failed(
+    def _handle_failure(
         self,
         server: Server,
         entry: queueing.QueuedRequest,
@@ -420,7 +431,7 @@
         attempt: int,
     ) -> None:
         work = entry.work
-        verdict = self.retries.decide(
+        decision = self.retries.decide(
             retries.Attempt(
                 SERVICE,
                 record.call.idempotent,
@@ -432,14 +443,14 @@
             self.rng.random(),
         )
         if not self.mechanisms.budget and record.call.idempotent and attempt < 3:
-            verdict = retries.Retry(0.0)
-        if isinstance(verdict, retries.GiveUp):
-            record.code, record.ended_at = verdict.code, self.now
+            decision = retries.Retry(0.0)
+        if isinstance(decision, retries.GiveUp):
+            record.code, record.ended_at = decision.code, self.now
             return
         excluded = work.excluded | {server.name}
         if len(excluded) >= len(self.servers):
             excluded = frozenset()
         self.at(
-            self.now + verdict.delay,
+            self.now + decision.delay,
             lambda: self._arrive(record, attempt + 1, excluded),
         )
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -37,7 +37,7 @@
     owner = world.World(trace, seed)
     owner.run(policies.POLICIES[policy](owner))
     found = owner.measures.report()
-    found["gap_bound"] = round(bounds.find_bound(owner), 3)
+    found["gap_bound"] = round(bounds.compute_gap_bound(owner), 3)
     return {"policy": policy, **{key: found[key] for key in KEYS}}
 
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -36,7 +36,9 @@
         prefix = 0 if hot else rng.randrange(1, PREFIXES)
         prompt = make_prompt(prefix, len(calls) + 1)
         account = rng.choice("abcd")
-        calls.append(one_router.Call(at, account, 10.0, patience=120.0, prompt=prompt))
+        calls.append(
+            one_router.Call(at, account, 10.0, attempt_timeout=120.0, prompt=prompt)
+        )
     return calls
 
 
