--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: replay of traces, loopback runs, slopes."""
+"""Benchmarks: trace replay, loopback measurements and cost slopes."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run one measurement by name: ``python -m bench NAME``."""
+"""Runs one measurement by name: ``python -m bench NAME``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def run() -> int:
-    """Run the measurement that the command line names."""
+    """Run the measurement that is named on the command line."""
     folder = pathlib.Path(__file__).parent
     names = sorted(
         path.stem for path in folder.glob("*.py") if "\ndef run(" in path.read_text()
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,4 @@
-"""Processor time and bytes of each kind of control work, at several sizes."""
+"""Measures processor time and bytes of each kind of control work, at several sizes."""
 
 from __future__ import annotations
 
@@ -36,34 +36,34 @@
 ACCOUNTS = 76
 """Backlogged accounts: a tenth of 760."""
 
-HOME_SERVERS = 8
-WINDOW = 160
-"""Streams of one server at the letter's size: 35,000,000 x 0.046 / 10,000."""
+SERVERS_PER_HOME = 8
+SLOTS_PER_SERVER = 160
+"""Streams per server at the target scale: 35,000,000 x 0.046 / 10,000."""
 
 SERVICE = ids.ServiceId("planner-llm")
-OWN = ids.RouterId("router-0001")
+OWN_ROUTER = ids.RouterId("router-0001")
 INCARNATION = ids.Incarnation(1)
-KEY = "fleet-key-of-the-measurement"
+FLEET_KEY = "fleet-key-of-the-measurement"
 LINK_BYTES = 44
-"""Length prefix and headers of TCP and IP for a frame that travels alone."""
+"""Length prefix and TCP and IP headers of a frame that is sent in its own packet."""
 
 DATAGRAM_BYTES = 28
 """Headers of UDP and IP."""
 
 
-def name_account(index: int) -> ids.AccountId:
-    """Return an account id of usual length."""
+def make_account_id(index: int) -> ids.AccountId:
+    """Return an account id of typical length."""
     return ids.AccountId(f"account-{index:03}")
 
 
 def encode(*batch: messages.Message) -> bytes:
-    """Return a frame of this router."""
-    return codec.encode(messages.Frame(OWN, INCARNATION, 1, batch))
+    """Encode messages as one frame of the local router."""
+    return codec.encode(messages.Frame(OWN_ROUTER, INCARNATION, 1, batch))
 
 
 def measure() -> list[fits.Slope]:
     """Return the slopes of time and bytes of all control work."""
-    measures = (
+    measurements = (
         measure_grants,
         measure_demands,
         measure_counters,
@@ -73,11 +73,11 @@
         measure_logs,
         measure_samples,
     )
-    return list(itertools.chain.from_iterable(one() for one in measures))
+    return list(itertools.chain.from_iterable(one() for one in measurements))
 
 
 def measure_grants() -> list[fits.Slope]:
-    """Measure one request's way through queue, home and four messages on the wire."""
+    """Measure the queue, the home and the four wire messages of one request."""
     times = [fits.time_call(prepare_grants, size) for size in SIZES]
     sizes = [
         float(
@@ -96,7 +96,7 @@
 
 
 def measure_demands() -> list[fits.Slope]:
-    """Measure demands of which each is told to one more home."""
+    """Measure demand messages that are each sent to one additional home."""
     times = [fits.time_call(prepare_demands, size) for size in SIZES]
     sizes = [
         float(
@@ -114,22 +114,22 @@
 
 
 def prepare_demands(size: int) -> Callable[[], object]:
-    """Return a call that takes demands to a ledger without free slots."""
-    counters = sharing.Counters(OWN, INCARNATION, lambda _: 1.0)
-    ledger = grants.Ledger(OWN, INCARNATION, counters)
+    """Return a call that applies demand messages to a ledger without free slots."""
+    counters = sharing.Counters(OWN_ROUTER, INCARNATION, lambda _: 1.0)
+    ledger = grants.Ledger(OWN_ROUTER, INCARNATION, counters)
 
-    def play() -> None:
+    def run_batch() -> None:
         for index in range(size):
-            demand = pass_on(make_grant_messages(index)[0])
-            ledger.update_demand(OWN, demand, index * 0.01)
+            demand = encode_and_decode(make_grant_messages(index)[0])
+            ledger.update_demand(OWN_ROUTER, demand, index * 0.01)
             ledger.issue(index * 0.01)
 
-    return play
+    return run_batch
 
 
 def make_grant_messages(index: int) -> tuple[messages.Message, ...]:
-    """Return what travels for one request whose home is another router."""
-    account, server = name_account(index % ACCOUNTS), ids.ServerId("server-0001")
+    """Return the messages of one request whose home is another router."""
+    account, server = make_account_id(index % ACCOUNTS), ids.ServerId("server-0001")
     grant = ids.GrantId((1 << 32) + index)
     return (
         messages.Demand(SERVICE, account, 1, 0.0, index + 1, 250.0),
@@ -140,92 +140,100 @@
 
 
 def prepare_grants(size: int) -> Callable[[], object]:
-    """Return a call that takes requests through queue, ledger and codec."""
-    counters = sharing.Counters(OWN, INCARNATION, lambda _: 1.0)
-    ledger = grants.Ledger(OWN, INCARNATION, counters)
-    for index in range(HOME_SERVERS):
+    """Return a call that processes requests with queue, ledger and codec."""
+    counters = sharing.Counters(OWN_ROUTER, INCARNATION, lambda _: 1.0)
+    ledger = grants.Ledger(OWN_ROUTER, INCARNATION, counters)
+    for index in range(SERVERS_PER_HOME):
         server = ids.ServerId(f"server-{index:04}")
-        ledger.add_server(server, SERVICE, WINDOW, 0.0)
+        ledger.add_server(server, SERVICE, SLOTS_PER_SERVER, 0.0)
     queues = queueing.Queues()
-    control = admission.Admission(queues)
+    admission_control = admission.Admission(queues)
 
-    def play() -> None:
+    def run_batch() -> None:
         for index in range(size):
-            play_request(ledger, queues, control, index)
+            process_request(ledger, queues, admission_control, index)
 
-    return play
+    return run_batch
 
 
-def play_request(
+def process_request(
     ledger: grants.Ledger,
     queues: queueing.Queues,
-    control: admission.Admission,
+    admission_control: admission.Admission,
     index: int,
 ) -> None:
-    """Take one request from its admission to the end of its slot."""
+    """Process one request from its admission to the release of its slot."""
     now = index * 0.01
-    account = name_account(index % ACCOUNTS)
+    account = make_account_id(index % ACCOUNTS)
     request = ids.RequestId(f"request-{index}")
     work = dispatch.Work(request, SERVICE, account, now + 30.0)
-    control.admit(work, 1000, 250.0, now, 0.5)
-    demand = pass_on(queues.demand(SERVICE, account, index + 1, now))
-    ledger.update_demand(OWN, demand, now)
+    admission_control.admit(work, 1000, 250.0, now, 0.5)
+    demand = encode_and_decode(queues.demand(SERVICE, account, index + 1, now))
+    ledger.update_demand(OWN_ROUTER, demand, now)
     for issued in ledger.issue(now):
-        grant = pass_on(issued.grant)
+        grant = encode_and_decode(issued.grant)
         entry = queues.pick(SERVICE, grant.account, grant.server, now)
         if entry is None:
             continue
-        used = (grant.grant, grant.server, grant.account)
-        ledger.mark_used(OWN, pass_on(messages.GrantUsed(*used, 250.0)), now)
+        grant_fields = (grant.grant, grant.server, grant.account)
+        ledger.mark_used(
+            OWN_ROUTER, encode_and_decode(messages.GrantUsed(*grant_fields, 250.0)), now
+        )
         queues.finish(entry.work.request, now + 1.0)
-        ledger.end_grant(OWN, pass_on(messages.GrantEnded(*used, 251.0)), now)
+        ledger.end_grant(
+            OWN_ROUTER,
+            encode_and_decode(messages.GrantEnded(*grant_fields, 251.0)),
+            now,
+        )
 
 
-def pass_on(message: messages.Message) -> messages.Message:
+def encode_and_decode(message: messages.Message) -> messages.Message:
     """Encode and decode a message in a frame of its own."""
     return codec.decode(encode(message)).messages[0]
 
 
 def make_counters(size: int) -> list[messages.Counter]:
-    """Return counters of one router for as many accounts."""
+    """Return counters of one router, one for each account."""
     return [
-        messages.Counter(OWN, INCARNATION, SERVICE, name_account(index), 1e6 + index)
+        messages.Counter(
+            OWN_ROUTER, INCARNATION, SERVICE, make_account_id(index), 1e6 + index
+        )
         for index in range(size)
     ]
 
 
 def measure_counters() -> list[fits.Slope]:
-    """Measure counters that are due, encoded, decoded and merged, one a frame."""
+    """Measure finding due counters and sending each in a frame of its own."""
     times = [fits.time_call(prepare_counters, size) for size in SIZES]
-    alone = [
+    single_sizes = [
         float(sum(len(encode(one)) + LINK_BYTES for one in make_counters(size)))
         for size in SIZES
     ]
-    together = [float(len(encode(*make_counters(size)))) for size in SIZES]
+    batch_sizes = [float(len(encode(*make_counters(size)))) for size in SIZES]
     return [
         fits.fit("counter alone in a frame", "us", SIZES, times),
-        fits.fit("counter alone in a frame", "bytes", SIZES, alone),
-        fits.fit("counter in a batch", "bytes", SIZES, together),
+        fits.fit("counter alone in a frame", "bytes", SIZES, single_sizes),
+        fits.fit("counter in a batch", "bytes", SIZES, batch_sizes),
     ]
 
 
 def prepare_counters(size: int) -> Callable[[], object]:
-    """Return a call that exchanges counters between two routers."""
+    """Return a call that sends counters from one router to another."""
     other = sharing.Counters(ids.RouterId("router-0002"), INCARNATION, lambda _: 1.0)
     rule = reporting.CounterReporter(reporting.ThresholdRule())
     counters = make_counters(size)
     units = {(one.service, one.account): one.units for one in counters}
 
-    def play() -> None:
+    def run_batch() -> None:
         rule.find_due(units, None, 1.0)
         for counter in counters:
-            other.merge(pass_on(counter))
+            other.merge(encode_and_decode(counter))
 
-    return play
+    return run_batch
 
 
 def make_member(index: int) -> messages.Member:
-    """Return a living router."""
+    """Return a member that is alive."""
     return messages.Member(
         ids.RouterId(f"router-{index:04}"),
         INCARNATION,
@@ -239,7 +247,7 @@
 
 
 def make_membership(members: int) -> membership.Membership:
-    """Return the membership of one router that knows all others."""
+    """Return the membership view of a router that knows all others."""
     view = membership.Membership(make_member(1), random.Random(1))
     for index in range(2, members + 1):
         member = make_member(index)
@@ -248,43 +256,47 @@
 
 
 def prepare_probes(members: int) -> Callable[[], object]:
-    """Return a call of 100 probes sent, sealed, answered and read."""
+    """Return a call that sends, signs, answers and reads 100 probes."""
     view, peer = make_membership(members), make_membership(members)
 
-    def play() -> None:
+    def run_batch() -> None:
         for index in range(100):
             probe_once(view, peer, 1.0 + 0.5 * index)
 
-    return play
+    return run_batch
 
 
 def probe_once(
     view: membership.Membership, peer: membership.Membership, now: float
 ) -> int:
-    """Send the probe that is due, answer it, and return the bytes of both ways."""
+    """Send the due probe, answer it, and return the bytes of both directions."""
     size = 0
     for action in view.tick(now):
         if isinstance(action, statements.Send):
-            asked, count = pass_datagram(action)
+            request_messages, count = sign_and_verify(action)
             size += count
-            for answer in peer.receive(now, OWN, view.own.peer_address, asked):
+            for answer in peer.receive(
+                now, OWN_ROUTER, view.own.peer_address, request_messages
+            ):
                 if isinstance(answer, statements.Send):
-                    told, count = pass_datagram(answer)
+                    reply_messages, count = sign_and_verify(answer)
                     size += count
                     router = ids.RouterId("router-0002")
-                    view.receive(now, router, action.address, told)
+                    view.receive(now, router, action.address, reply_messages)
     return size
 
 
-def pass_datagram(action: statements.Send) -> tuple[tuple[messages.Message, ...], int]:
-    """Seal and read a datagram; return what it says and its bytes with headers."""
-    data = proofs.sign_datagram(KEY, encode(*action.batch))
-    frame = codec.decode(proofs.verify_datagram([KEY], data))
+def sign_and_verify(
+    action: statements.Send,
+) -> tuple[tuple[messages.Message, ...], int]:
+    """Sign and verify a datagram; return its messages and its size with headers."""
+    data = proofs.sign_datagram(FLEET_KEY, encode(*action.batch))
+    frame = codec.decode(proofs.verify_datagram([FLEET_KEY], data))
     return frame.messages, len(data) + DATAGRAM_BYTES
 
 
 def measure_probes() -> list[fits.Slope]:
-    """Measure probes over the size of the fleet; a probe costs the same in any."""
+    """Measure probes by fleet size; a probe costs the same at any size."""
     times = [fits.time_call(prepare_probes, size) / 100 for size in FLEET_SIZES]
     sizes = []
     for members in FLEET_SIZES:
@@ -297,19 +309,19 @@
 
 
 def measure_facts() -> list[fits.Slope]:
-    """Measure facts about members that ride on a probe."""
+    """Measure facts about members that are piggybacked on a probe."""
     counts = (1, 4, 12)
 
     def prepare(size: int) -> Callable[[], object]:
         facts = [make_member(index) for index in range(size)]
         view = make_membership(100)
 
-        def play() -> None:
+        def run_batch() -> None:
             for _ in range(100):
                 frame = codec.decode(encode(*facts))
-                view.receive(1.0, OWN, facts[0].peer_address, frame.messages)
+                view.receive(1.0, OWN_ROUTER, facts[0].peer_address, frame.messages)
 
-        return play
+        return run_batch
 
     times = [fits.time_call(prepare, size) / 100 for size in counts]
     sizes = [
@@ -342,7 +354,7 @@
             for index in range(servers)
         ),
         accounts=tuple(
-            register.Account(name=name_account(index), key_hashes=(f"{index:064x}",))
+            register.Account(name=make_account_id(index), key_hashes=(f"{index:064x}",))
             for index in range(760)
         ),
     )
@@ -350,7 +362,7 @@
 
 
 def measure_configurations() -> list[fits.Slope]:
-    """Measure reading one new configuration, and its bytes, by servers."""
+    """Measure decoding time and size of a new configuration, by servers."""
     bodies = {size: documents.pack(make_configuration(size)) for size in SERVER_SIZES}
 
     def prepare(size: int) -> Callable[[], object]:
@@ -365,18 +377,18 @@
 
 
 def measure_logs() -> list[fits.Slope]:
-    """Measure events written to a file."""
+    """Measure log events that are written to a file."""
     file = io.StringIO()
     writer = events.open_log(file)
     event = next(iter(events.Event))
 
     def prepare(size: int) -> Callable[[], object]:
-        def play() -> None:
+        def run_batch() -> None:
             for index in range(size):
-                events.log(event, router=OWN, request=f"request-{index}")
+                events.log(event, router=OWN_ROUTER, request=f"request-{index}")
             writer.write_queued()
 
-        return play
+        return run_batch
 
     times, sizes = [], []
     for size in SIZES:
@@ -392,19 +404,19 @@
 
 
 def measure_samples() -> list[fits.Slope]:
-    """Measure histogram samples spread over the pairs that have series."""
+    """Measure histogram samples, distributed over service and account pairs."""
 
     def prepare(size: int) -> Callable[[], object]:
         service = metrics.Metrics()
-        names = [name_account(index) for index in range(PAIR_SIZES[-1])]
+        names = [make_account_id(index) for index in range(PAIR_SIZES[-1])]
         for name in names:
             service.observe_wait(SERVICE, name, 0.1)
 
-        def play() -> None:
+        def run_batch() -> None:
             for index in range(size):
                 service.observe_wait(SERVICE, names[index % len(names)], 0.1)
 
-        return play
+        return run_batch
 
     times = [fits.time_call(prepare, size) for size in SIZES]
     return [fits.fit("histogram sample", "us", SIZES, times)]
--- a/bench/footprints.py
+++ b/bench/footprints.py
@@ -1,4 +1,4 @@
-"""Bytes of memory for each queued request, account, server, member and series."""
+"""Measures the memory of queued requests, accounts, servers, members and metrics."""
 
 from __future__ import annotations
 
@@ -14,47 +14,49 @@
 
 
 def measure() -> list[fits.Slope]:
-    """Return the slopes of memory."""
+    """Return the slopes of memory usage."""
     return [
-        weigh("queued request without its body", fill_queues),
-        weigh("client account in counters", fill_counters),
-        weigh("server in ledger and window", fill_ledger),
-        weigh("server in the configuration", fill_servers),
-        weigh("member", costs.make_membership),
-        weigh("block of a cached prefix", fill_cache),
-        weigh("pair of service and account in metrics", fill_metrics, (50, 150, 400)),
+        measure_memory("queued request without its body", fill_queues),
+        measure_memory("client account in counters", fill_counters),
+        measure_memory("server in ledger and window", fill_ledger),
+        measure_memory("server in the configuration", fill_servers),
+        measure_memory("member", costs.make_membership),
+        measure_memory("block of a cached prefix", fill_cache),
+        measure_memory(
+            "pair of service and account in metrics", fill_metrics, (50, 150, 400)
+        ),
     ]
 
 
-def weigh(
+def measure_memory(
     name: str, make: Callable[[int], object], sizes: tuple[int, ...] = SIZES
 ) -> fits.Slope:
-    """Return the bytes that a structure keeps, by its size."""
+    """Return the slope of the bytes that a structure retains, by its size."""
     values = []
     for size in sizes:
         gc.collect()
         tracemalloc.start()
-        kept = make(size)
+        retained = make(size)
         gc.collect()
         values.append(float(tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
-        del kept
+        del retained
     return fits.fit(name, "bytes", sizes, values)
 
 
 def fill_queues(size: int) -> queueing.Queues:
-    """Return queues with requests waiting."""
+    """Return queues that hold waiting requests."""
     queues = queueing.Queues()
     for index in range(size):
         request = ids.RequestId(f"request-{index}")
-        account = costs.name_account(index % costs.ACCOUNTS)
+        account = costs.make_account_id(index % costs.ACCOUNTS)
         work = dispatch.Work(request, costs.SERVICE, account, 30.0 + index)
         queues.add(work, 1000, 250.0, float(index))
     return queues
 
 
 def fill_counters(size: int) -> sharing.Counters:
-    """Return counters of accounts, one each, as heard from one other router."""
+    """Return one counter per account, all received from one other router."""
     counters = sharing.Counters(ids.RouterId("b"), costs.INCARNATION, lambda _: 1.0)
     for counter in costs.make_counters(size):
         counters.merge(counter)
@@ -62,25 +64,25 @@
 
 
 def fill_ledger(size: int) -> tuple[grants.Ledger, limits.Windows]:
-    """Return the ledger and the windows of servers without requests."""
-    counters = sharing.Counters(costs.OWN, costs.INCARNATION, lambda _: 1.0)
-    ledger = grants.Ledger(costs.OWN, costs.INCARNATION, counters)
+    """Return the ledger and the windows of idle servers."""
+    counters = sharing.Counters(costs.OWN_ROUTER, costs.INCARNATION, lambda _: 1.0)
+    ledger = grants.Ledger(costs.OWN_ROUTER, costs.INCARNATION, counters)
     windows = limits.Windows()
     for index in range(size):
         server = ids.ServerId(f"server-{index:05}")
-        ledger.add_server(server, costs.SERVICE, costs.WINDOW, 0.0)
-        windows.find(server, costs.WINDOW, 0.0)
+        ledger.add_server(server, costs.SERVICE, costs.SLOTS_PER_SERVER, 0.0)
+        windows.find(server, costs.SLOTS_PER_SERVER, 0.0)
     return ledger, windows
 
 
 def fill_servers(size: int) -> object:
-    """Return a configuration with its indexes."""
-    made = costs.make_configuration(size)
-    return made, made.servers
+    """Return a configuration and its server index."""
+    config = costs.make_configuration(size)
+    return config, config.servers
 
 
 def fill_cache(size: int) -> routing.CacheMap:
-    """Return a map of blocks that one server each holds."""
+    """Return a cache map of blocks that are each cached at one server."""
     cache = routing.CacheMap()
     for block in range(size):
         cache.record_sent(
@@ -90,10 +92,10 @@
 
 
 def fill_metrics(size: int) -> metrics.Metrics:
-    """Return metrics in which every pair has all its series."""
+    """Return metrics with all series of each service and account pair."""
     service = metrics.Metrics()
     for index in range(size):
-        pair = (costs.SERVICE, costs.name_account(index))
+        pair = (costs.SERVICE, costs.make_account_id(index))
         service.observe_wait(*pair, 0.1)
         service.observe_first_token(*pair, 0.1)
         service.observe_token_gap(*pair, 0.01)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Stand-ins and routers as processes of their own, for measurements on loopback."""
+"""Runs stand-ins and routers as separate processes, for loopback measurements."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 POLL_SECONDS = 0.05
 
 ADDRESS_SECONDS = 1.0
-"""Routers stop quickly when callers keep their addresses for a short time only."""
+"""Time that callers may cache router addresses; a short one lets routers stop soon."""
 
 
 class Processes:
-    """Starts processes and ends those that it has started; a context manager."""
+    """Context manager that starts processes and stops all of them on exit."""
 
     def __init__(self) -> None:
         self._running: list[subprocess.Popen] = []
@@ -84,7 +84,7 @@
 
 
 def publish(store: str, entries: register.Register) -> None:
-    """Write the first generation once the store answers."""
+    """Publish the first configuration generation once the store answers."""
     wait_for(store, "/_calls")
     client = store_adapter.StoreClient(store)
     stored = publishing.read_stored(client)
@@ -92,15 +92,15 @@
 
 
 def wait_for(address: str, path: str, headers: dict[str, str] | None = None) -> None:
-    """Wait until a process answers a path with 200.
+    """Wait until a process answers a path with status 200.
 
     Raises
     ------
     TimeoutError
-        If it does not in time.
+        If it does not answer with 200 within `READY_SECONDS`.
     """
-    ends = time.monotonic() + READY_SECONDS
-    while time.monotonic() < ends:
+    deadline = time.monotonic() + READY_SECONDS
+    while time.monotonic() < deadline:
         try:
             answer = urllib3.request(
                 "GET",
@@ -114,4 +114,6 @@
         except urllib3.exceptions.HTTPError:
             pass
         time.sleep(POLL_SECONDS)
-    raise TimeoutError(f"{address}{path} does not answer with 200")
+    raise TimeoutError(
+        f"{address}{path} did not answer with status 200 in {READY_SECONDS:g} s"
+    )
--- a/bench/resting.py
+++ b/bench/resting.py
@@ -1,7 +1,7 @@
-"""What a fleet without callers costs: the start of each router, then its rest.
+"""Measures the cost of a fleet without callers, during startup and while idle.
 
-The routers are processes of their own in several data centres, with one store. Printed
-are processor time and calls to the store, of the start and of each second at rest.
+The routers are separate processes in several data centres and share one store. The
+output is processor time and calls to the store, for startup and for the idle period.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 SERVERS = 10
 
 SETTLE_SECONDS = 10.0
-"""Long after all have met: what is measured next is rest."""
+"""Time after which all routers know each other and startup work is over."""
 
-REST_SECONDS = 20.0
+IDLE_SECONDS = 20.0
 
 START_SECONDS_MAX = 120.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What all routers together had used at one moment.
+    """Total usage of all routers at one moment.
 
     Attributes
     ----------
     at : float
-        Moment, in seconds.
+        Monotonic time, in seconds.
     seconds : float
         Processor time, in seconds.
     calls : Counter
@@ -51,25 +51,29 @@
 def take_sample(
     routers: list[soakparts.RouterProcess], store: objects.ObjectStore
 ) -> Sample:
-    """Return what has been used up to now."""
-    used = sum(passing.read_usage(router.process).seconds for router in routers)
-    return Sample(time.monotonic(), used, collections.Counter(store.calls_by_kind))
+    """Return the total usage until now."""
+    processor_seconds = sum(
+        passing.read_usage(router.process).seconds for router in routers
+    )
+    return Sample(
+        time.monotonic(), processor_seconds, collections.Counter(store.calls_by_kind)
+    )
 
 
 def start_fleet(
     stack: contextlib.ExitStack, store: objects.ObjectStore, count: int
 ) -> list[soakparts.RouterProcess]:
-    """Start all routers at once; they end with the stack."""
+    """Start all routers at once; the exit stack stops them."""
     folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
-    found = ports.find_ports(4 * count)
+    port_numbers = ports.find_ports(4 * count)
     routers = [
         soakparts.RouterProcess(
             f"edge-{index}",
             store.address,
-            found[4 * index : 4 * index + 4],
+            port_numbers[4 * index : 4 * index + 4],
             folder,
             data_centre=f"hala-{index % DATA_CENTRES}",
-            seeds=[_peer_address(found, seed) for seed in range(min(3, count))],
+            seeds=[_peer_address(port_numbers, seed) for seed in range(min(3, count))],
         )
         for index in range(count)
     ]
@@ -79,22 +83,22 @@
     return routers
 
 
-def _peer_address(found: list[int], index: int) -> str:
-    """Return the address for peers of the router with an index."""
-    return f"127.0.0.1:{found[4 * index + 1]}"
+def _peer_address(port_numbers: list[int], index: int) -> str:
+    """Return the peer address of the router with an index."""
+    return f"127.0.0.1:{port_numbers[4 * index + 1]}"
 
 
 def wait_ready(routers: list[soakparts.RouterProcess]) -> None:
     """Wait until all routers are ready; raises TimeoutError."""
-    until = time.monotonic() + START_SECONDS_MAX
+    deadline = time.monotonic() + START_SECONDS_MAX
     while not all(router.is_ready() for router in routers):
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise TimeoutError("expected all routers to be ready")
         time.sleep(0.2)
 
 
 def describe(name: str, before: Sample, after: Sample, routers: int) -> str:
-    """Return a line on what was used between two samples."""
+    """Return a line that describes the usage between two samples."""
     seconds = after.at - before.at
     calls = after.calls - before.calls
     parts = ", ".join(f"{key} {count}" for key, count in sorted(calls.items()))
@@ -107,9 +111,9 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Print what start and rest cost; the arguments are routers and seconds."""
+    """Print startup and idle cost; the arguments are routers and idle seconds."""
     count = int(arguments[0]) if arguments else ROUTERS
-    seconds = float(arguments[1]) if len(arguments) > 1 else REST_SECONDS
+    seconds = float(arguments[1]) if len(arguments) > 1 else IDLE_SECONDS
     store = objects.ObjectStore(threads=max(64, 3 * count))
     store.start()
     with contextlib.ExitStack() as stack:
@@ -121,17 +125,17 @@
         for index in range(SERVERS):
             entry = sampleconfig.make_entry("gate", server.address, slots=64)
             store.put("servers", f"gate-{index}", entry)
-        empty = Sample(time.monotonic(), 0.0, collections.Counter())
+        initial = Sample(time.monotonic(), 0.0, collections.Counter())
         routers = start_fleet(stack, store, count)
         wait_ready(routers)
         ready = take_sample(routers, store)
-        print(describe("until all are ready", empty, ready, count), flush=True)
+        print(describe("until all are ready", initial, ready, count), flush=True)
         time.sleep(SETTLE_SECONDS)
         settled = take_sample(routers, store)
         print(describe("until settled", ready, settled, count), flush=True)
         time.sleep(seconds)
-        rested = take_sample(routers, store)
-        print(describe("at rest", settled, rested, count), flush=True)
+        idle = take_sample(routers, store)
+        print(describe("at rest", settled, idle, count), flush=True)
     return 0
 
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -123,7 +123,7 @@
     def _arrive(self) -> None:
         """Admit a request at a random node; a few accounts send most."""
         node = self.rng.choice(self.nodes)
-        account = costs.name_account(int(sizing.ACCOUNTS * self.rng.random() ** 2))
+        account = costs.make_account_id(int(sizing.ACCOUNTS * self.rng.random() ** 2))
         service = ids.ServiceId(f"model-{self.rng.randrange(sizing.MODELS)}")
         request = ids.RequestId(f"request-{next(self._order)}")
         work = dispatch.Work(request, service, account, self.now + 60.0)
@@ -224,7 +224,7 @@
         self.counter_bytes += size * len(routers)
         for router in self.rng.sample(routers, min(TOLD, len(routers))):
             home = self.by_router[router]
-            self._decide(home.counters.merge, costs.pass_on(counter))
+            self._decide(home.counters.merge, costs.encode_and_decode(counter))
 
 
 def play() -> dict[str, object]:
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,4 +1,4 @@
-"""Tables that measurements print."""
+"""Prints measurement results as tables."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def print_patterns(
     patterns: Iterable[str], cases: Iterable[str], measure: Callable[[str, str], dict]
 ) -> Table:
-    """Measure each case under each load pattern, print a table each, and return all."""
+    """Measure each case under each load pattern; print and return one table each."""
     table: Table = {}
     for pattern in patterns:
         print(f"\n{pattern}")
--- a/tests/bench/test_costs.py
+++ b/tests/bench/test_costs.py
@@ -1,4 +1,4 @@
-"""The measurements of single costs still fit the code that they measure."""
+"""Tests that the cost measurements run against the current code."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 def test_every_cost_can_be_measured(monkeypatch) -> None:
-    """A module moves, and the capacity page can't be measured again.
+    """A moved or renamed module can break the measurements behind the capacity page.
 
-    Nobody notices before the next release, since its figures are recorded.
+    The page is checked against recorded figures only, so the failure would stay
+    unnoticed until the next release.
     """
     for name in ("SIZES", "FLEET_SIZES", "SERVER_SIZES", "PAIR_SIZES"):
         monkeypatch.setattr(costs, name, (4, 8, 16))
--- a/tests/bench/test_resting.py
+++ b/tests/bench/test_resting.py
@@ -1,4 +1,4 @@
-"""The measurement of a fleet at rest says what was used between two moments."""
+"""Tests of the report on the usage of an idle fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from bench import resting
 
 
-def test_line_tells_use_of_each_router_and_calls_by_kind() -> None:
+def test_description_shows_usage_per_router_and_calls_by_kind() -> None:
     before = resting.Sample(10.0, 4.0, collections.Counter({"GET config": 2}))
     calls = collections.Counter({"GET config": 5, "WATCH servers": 20})
     after = resting.Sample(20.0, 6.0, calls)
