--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,7 +1,7 @@
-"""What one router adds to a call, and how many tokens a second it passes on.
+"""Measures the latency that one router adds and its token throughput.
 
-Usage: ``make bench NAME=overhead``. Router, store, plain service and engines are
-processes of their own; the callers are threads of this one.
+Usage: ``make bench NAME=overhead``. The router, store, plain service and engines are
+separate processes; the callers are threads of this one.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 CALLERS = (1, 50)
 CALLS = 2000
-WARM_CALLS = 200
+WARMUP_CALLS = 200
 
 STREAMS = (8, 16, 32, 64, 96)
 STREAM_TOKENS = 500
@@ -33,7 +33,7 @@
 ENGINE_SLOTS = 48
 
 TOKEN = re.compile(rb"[0-9a-f]{8}\.\d+ ")
-"""A token of the stand-in; each part of a stream holds whole tokens."""
+"""A token of the stand-in engine; each chunk of a stream contains whole tokens."""
 
 ACCOUNT = "bench"
 HEADERS = {"Authorization": f"Bearer {ACCOUNT}", "Content-Type": "application/json"}
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Setup:
-    """Addresses of the parts."""
+    """Addresses of the started processes."""
 
     gate: str
     engines: tuple[str, ...]
@@ -49,7 +49,7 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Measure, print a line for each case, and one JSON object last."""
+    """Measure, print a line per case, and print one JSON object last."""
     with processes.Processes() as running:
         setup = start(running)
         result: dict[str, object] = {
@@ -90,8 +90,8 @@
 ) -> register.Register:
     """Return the register of one router, one plain server and some engines."""
     servers = [(fleet.GATE, "gate-1", gate, 64)] + [
-        (fleet.MODEL, f"engine-{place}", address, ENGINE_SLOTS)
-        for place, address in enumerate(engines)
+        (fleet.MODEL, f"engine-{index}", address, ENGINE_SLOTS)
+        for index, address in enumerate(engines)
     ]
     return register.Register(
         firm="bench",
@@ -124,20 +124,20 @@
 
 
 def measure_plain(setup: Setup, callers: int) -> dict[str, float]:
-    """Return times of direct and routed calls in milliseconds, and calls a second."""
+    """Return latencies of direct and routed calls in ms, and calls per second."""
     urls = {
         "direct": f"http://{setup.gate}/status",
         "routed": f"http://{setup.router}/v1/services/{fleet.GATE}/status",
     }
     found: dict[str, float] = {}
     for name, url in urls.items():
-        time_calls(url, callers, WARM_CALLS)
+        time_calls(url, callers, WARMUP_CALLS)
         began = time.perf_counter()
         times = sorted(time_calls(url, callers, CALLS))
-        passed = time.perf_counter() - began
+        elapsed = time.perf_counter() - began
         found[f"{name}_median_ms"] = round(1000 * statistics.median(times), 2)
         found[f"{name}_p99_ms"] = round(1000 * times[int(len(times) * 0.99)], 2)
-        found[f"{name}_calls_per_second"] = round(len(times) / passed)
+        found[f"{name}_calls_per_second"] = round(len(times) / elapsed)
     for name in ("median_ms", "p99_ms"):
         difference = found[f"routed_{name}"] - found[f"direct_{name}"]
         found[f"added_{name}"] = round(difference, 2)
@@ -146,7 +146,7 @@
 
 
 def time_calls(url: str, callers: int, calls: int) -> list[float]:
-    """Return the time of each call, in seconds; every answer is 200."""
+    """Return the latency of each call, in seconds; raise if a status is not 200."""
     pool = urllib3.PoolManager(maxsize=callers, retries=False, timeout=30.0)
     times: list[float] = []
 
@@ -156,39 +156,42 @@
             answer = pool.request("GET", url, headers=HEADERS)
             times.append(time.perf_counter() - began)
             if answer.status != 200:
-                raise RuntimeError(f"expected 200, found {answer.status}")
+                raise RuntimeError(f"expected status 200, received {answer.status}")
 
-    run_at_once([call] * callers)
+    run_concurrently([call] * callers)
     return times
 
 
 def measure_tokens(setup: Setup, streams: int) -> dict[str, float]:
-    """Return the tokens a second that callers get, direct and through the router."""
+    """Return the tokens per second of callers, direct and through the router."""
     found: dict[str, float] = {"streams": streams, "offered": streams / TOKEN_SECONDS}
     direct = [f"http://{address}/generate" for address in setup.engines]
     routed = [f"http://{setup.router}/v1/chat/completions"]
     for name, urls in (("direct", direct), ("routed", routed)):
         began = time.perf_counter()
         tokens: list[int] = []
-        run_at_once(
-            [make_stream(urls, place, name, tokens) for place in range(streams)]
+        run_concurrently(
+            [make_stream(urls, index, name, tokens) for index in range(streams)]
         )
-        passed = time.perf_counter() - began
+        elapsed = time.perf_counter() - began
         if sum(tokens) != streams * STREAM_TOKENS:
-            raise RuntimeError(f"{name}: {sum(tokens)} tokens of {streams} streams")
-        found[f"{name}_tokens_per_second"] = round(sum(tokens) / passed)
+            raise RuntimeError(
+                f"{name}: received {sum(tokens)} tokens from {streams} streams, "
+                f"expected {streams * STREAM_TOKENS}"
+            )
+        found[f"{name}_tokens_per_second"] = round(sum(tokens) / elapsed)
     print(f"streams: {found}", flush=True)
     return found
 
 
 def make_stream(
-    urls: list[str], place: int, name: str, tokens: list[int]
+    urls: list[str], index: int, name: str, tokens: list[int]
 ) -> Callable[[], None]:
     """Return a call that reads one stream and counts its tokens."""
     body = {
-        "request": f"{name}-{place}-{time.time_ns()}",
+        "request": f"{name}-{index}-{time.time_ns()}",
         "model": fleet.MODEL,
-        "messages": [{"role": "user", "content": f"{name} {place}"}],
+        "messages": [{"role": "user", "content": f"{name} {index}"}],
         "max_tokens": STREAM_TOKENS,
         "stream": True,
     }
@@ -196,7 +199,7 @@
     def read() -> None:
         answer = urllib3.request(
             "POST",
-            urls[place % len(urls)],
+            urls[index % len(urls)],
             headers=HEADERS,
             body=json.dumps(body).encode(),
             preload_content=False,
@@ -208,26 +211,26 @@
     return read
 
 
-def run_at_once(calls: list[Callable[[], None]]) -> None:
-    """Run calls in a thread each; raise the first error.
+def run_concurrently(calls: list[Callable[[], None]]) -> None:
+    """Run each call in a thread of its own and wait for all of them.
 
     Raises
     ------
     ExceptionGroup
-        Of the errors of all calls.
+        With the errors of all calls, if any failed.
     """
     failures: list[Exception] = []
 
-    def guard(call: Callable[[], None]) -> None:
+    def collect_error(call: Callable[[], None]) -> None:
         try:
             call()
         except Exception as error:
             failures.append(error)
 
-    threads = [threading.Thread(target=guard, args=(call,)) for call in calls]
+    threads = [threading.Thread(target=collect_error, args=(call,)) for call in calls]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
     if failures:
-        raise ExceptionGroup("calls that failed", failures)
+        raise ExceptionGroup("some calls failed", failures)
--- a/bench/passing.py
+++ b/bench/passing.py
@@ -86,7 +86,7 @@
     """Read streams at once, through the router."""
     urls = [f"http://{setup.router}/v1/chat/completions"]
     tokens: list[int] = []
-    overhead.run_at_once(
+    overhead.run_concurrently(
         [
             overhead.make_stream(urls, place, f"slope-{count}", tokens)
             for place in range(count)
--- a/bench/routercost.py
+++ b/bench/routercost.py
@@ -1,7 +1,7 @@
-"""What a request, an event of a stream and a refusal cost a router of the platform.
+"""Measures the router's processor time per request, stream event and refusal.
 
-The router is a process of its own; an account sends it more than it takes, each request
-on a connection of its own. Processor time is the router's, as the system counts it.
+The router is a separate process. An account sends it more requests than it accepts,
+each on a connection of its own. The operating system reports the processor time.
 """
 
 from __future__ import annotations
@@ -20,32 +20,31 @@
 from standins import objects, platformserver, ports, sampleconfig
 
 THREADS = 32
-"""Requests that the router takes at a time; the slow ones below hold all of them."""
+"""Requests that the router handles at once; slow streams occupy all of them."""
 
-HELD_SECONDS = 600
-"""Timeout of the routes: longer than the measurement."""
+ROUTE_TIMEOUT_SECONDS = 600
+"""Timeout of the routes, longer than the measurement."""
 
 SENDERS = 16
 REQUESTS = 4_000
 STREAM_REQUESTS = 400
 EVENT_SECONDS = 0.01
-"""Time between two events: each is passed on by itself, as engines make them."""
+"""Time between two events, so that each is forwarded separately, as from engines."""
 
-WARMUP = 200
-REFUSED_IN_A_ROW = 20
-"""Refusals after which all that the router takes is held."""
+WARMUP_REQUESTS = 200
+CONSECUTIVE_REFUSALS = 20
+"""Refusals in a row after which all threads of the router count as occupied."""
 
 BODY = b"x" * 2_400
-"""As long as the body of the commonest request of the users' sheets."""
+"""Size of the most common request body in the users' load sheets."""
 
-
-STREAMS = (2, 30)
-"""Events of a short and of a usual stream; their difference tells what one costs."""
+EVENTS_PER_STREAM = (2, 30)
+"""Events of a short and a typical stream; the difference gives the cost per event."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """One kind of request, and the status that each must get."""
+    """One kind of request and the status that each must receive."""
 
     name: str
     path: str
@@ -61,7 +60,7 @@
     seconds : float
         Processor time of one request.
     rate : float
-        Requests a second that this machine's callers got answered.
+        Answered requests per second, as measured by the callers.
     """
 
     name: str
@@ -69,26 +68,26 @@
     rate: float
 
 
-Running = tuple[soakparts.RouterProcess, int, platformserver.PlatformServer]
+RunningRouter = tuple[soakparts.RouterProcess, int, platformserver.PlatformServer]
 
 
 @contextlib.contextmanager
-def run_router(folder: pathlib.Path) -> Iterator[Running]:
-    """Yield a router that takes few requests, its process, and its engine."""
+def run_router(folder: pathlib.Path) -> Iterator[RunningRouter]:
+    """Yield a router with few threads, its process id and its slow engine."""
     store = objects.ObjectStore()
     store.start()
-    quick = platformserver.PlatformServer("gate-1")
+    fast = platformserver.PlatformServer("gate-1")
     slow = platformserver.PlatformServer("planner-1", streams=True)
     with contextlib.ExitStack() as stack:
         stack.callback(store.stop)
-        for server, service in ((quick, "gate"), (slow, "planner")):
+        for server, service in ((fast, "gate"), (slow, "planner")):
             server.start()
             stack.callback(server.stop)
             entry = sampleconfig.make_entry(service, server.address, slots=64)
             store.put("servers", server.name, entry)
         configuration = sampleconfig.make_configuration()
         for route in configuration["routes"]:
-            route["timeout_ms"] = HELD_SECONDS * 1000
+            route["timeout_ms"] = ROUTE_TIMEOUT_SECONDS * 1000
         store.put("config", "main", configuration)
         router = soakparts.RouterProcess(
             "edge-1", store.address, ports.find_ports(4), folder, threads=THREADS
@@ -100,22 +99,24 @@
 
 
 def wait_ready(router: soakparts.RouterProcess) -> None:
-    """Wait until a call is answered."""
+    """Wait until a call is answered with 200."""
     for _ in range(200):
         with contextlib.suppress(OSError):
             if b" 200 " in send(router, sampleconfig.CALLS, "ready")[:16]:
                 return
         time.sleep(0.05)
-    raise RuntimeError("the router never answered")
+    raise RuntimeError(
+        "the router did not answer a call with status 200 in 200 attempts"
+    )
 
 
 def write(path: str, request: str) -> bytes:
-    """Return one request."""
+    """Return the bytes of one HTTP request."""
     lines = [
         f"POST {path}1 HTTP/1.1",
         f"Host: {sampleconfig.HOST}",
         f"Celeryspan-Request-Id: {request}",
-        f"Celeryspan-Deadline-Ms: {HELD_SECONDS * 1000}",
+        f"Celeryspan-Deadline-Ms: {ROUTE_TIMEOUT_SECONDS * 1000}",
         f"Celeryspan-Credential: {sampleconfig.KEY}",
         "Celeryspan-Model: m",
         "Celeryspan-Token-Count: 1460,80",
@@ -126,20 +127,22 @@
 
 
 def send(router: soakparts.RouterProcess, path: str, request: str) -> bytes:
-    """Send one request on a connection of its own; returns the whole answer."""
+    """Send one request on a new connection and return the complete response."""
     with socket.create_connection(tuple(router.front), 10.0) as caller:
         caller.sendall(write(path, request))
         answer = b""
         while not is_whole(answer):
-            piece = caller.recv(65_536)
-            if not piece:
-                raise RuntimeError(f"expected a whole answer, found {answer!r}")
-            answer += piece
+            chunk = caller.recv(65_536)
+            if not chunk:
+                raise RuntimeError(
+                    f"connection closed before the response was complete: {answer!r}"
+                )
+            answer += chunk
     return answer
 
 
 def is_whole(answer: bytes) -> bool:
-    """Whether an answer has come to its end."""
+    """Whether a response is complete."""
     head, found, body = answer.partition(b"\r\n\r\n")
     if not found:
         return False
@@ -152,27 +155,29 @@
 def measure(
     load: Load, router: soakparts.RouterProcess, process: int, count: int
 ) -> Cost:
-    """Send requests of one kind and return what each cost."""
+    """Send requests of one kind and return the cost of each."""
 
     def call(number: int) -> None:
         answer = send(router, load.path, f"{load.name}-{number}".replace(" ", "-"))
         if not answer.startswith(b"HTTP/1.1 " + load.status):
-            raise RuntimeError(f"expected {load.status!r}, found {answer!r}")
+            raise RuntimeError(f"expected status {load.status!r}, received {answer!r}")
 
     with concurrent.futures.ThreadPoolExecutor(SENDERS) as pool:
-        list(pool.map(call, range(WARMUP)))
+        list(pool.map(call, range(WARMUP_REQUESTS)))
         before, began = passing.read_usage(process), time.monotonic()
         list(pool.map(call, range(count)))
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - began
     used = passing.read_usage(process).seconds - before.seconds
-    return Cost(load.name, used / count, count / took)
+    return Cost(load.name, used / count, count / elapsed)
 
 
-def hold_threads(router: soakparts.RouterProcess, stack: contextlib.ExitStack) -> None:
-    """Let slow streams take all that the router takes at a time."""
+def occupy_threads(
+    router: soakparts.RouterProcess, stack: contextlib.ExitStack
+) -> None:
+    """Occupy all threads of the router with slow streams."""
     refused = 0
     for number in range(40 * THREADS):
-        if refused == REFUSED_IN_A_ROW:
+        if refused == CONSECUTIVE_REFUSALS:
             return
         if b" 503 " in send(router, sampleconfig.CALLS, f"probe-{number}")[:16]:
             refused += 1
@@ -182,7 +187,9 @@
         caller = socket.create_connection(tuple(router.front), 60.0)
         stack.enter_context(caller)
         caller.sendall(write(sampleconfig.NOTES, f"slow-{number}"))
-    raise RuntimeError("the router took requests all the while")
+    raise RuntimeError(
+        f"the router did not refuse {CONSECUTIVE_REFUSALS} requests in a row"
+    )
 
 
 def run(_: list[str]) -> int:
@@ -192,13 +199,13 @@
         call = Load("plain call", sampleconfig.CALLS, b"200")
         costs = [measure(call, router, process, REQUESTS)]
         engine.event_seconds = EVENT_SECONDS
-        for engine.events in STREAMS:
+        for engine.events in EVENTS_PER_STREAM:
             stream = Load(
                 f"stream of {engine.events} events", sampleconfig.NOTES, b"200"
             )
             costs.append(measure(stream, router, process, STREAM_REQUESTS))
-        engine.event_seconds = float(HELD_SECONDS)
-        hold_threads(router, stack)
+        engine.event_seconds = float(ROUTE_TIMEOUT_SECONDS)
+        occupy_threads(router, stack)
         refusal = Load("refusal", sampleconfig.CALLS, b"503")
         costs.append(measure(refusal, router, process, REQUESTS))
     for cost in costs:
@@ -206,6 +213,8 @@
             f"{cost.name}: {cost.seconds * 1e3:.2f} ms of a core, "
             f"{1 / cost.seconds:.0f} a second and core; {cost.rate:.0f} a second seen"
         )
-    event = (costs[2].seconds - costs[1].seconds) / (STREAMS[1] - STREAMS[0])
+    event = (costs[2].seconds - costs[1].seconds) / (
+        EVENTS_PER_STREAM[1] - EVENTS_PER_STREAM[0]
+    )
     print(f"event: {event * 1e6:.0f} us of a core")
     return 0
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -1,4 +1,4 @@
-"""The run at full breadth, for one second of its minute."""
+"""Tests the simulation at full scale for one second of its minute."""
 
 from __future__ import annotations
 
--- a/tests/bench/test_slopes.py
+++ b/tests/bench/test_slopes.py
@@ -1,4 +1,4 @@
-"""The capacity page shows the recorded run and nothing else."""
+"""Tests that the capacity page shows exactly the figures of the recorded run."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 def test_page_and_recorded_run_agree() -> None:
-    record = json.loads(slopes.RECORDED.read_text())
-    _, generated, _ = slopes.split_page(slopes.PAGE.read_text())
+    record = json.loads(slopes.RECORD_PATH.read_text())
+    _, generated, _ = slopes.split_page(slopes.PAGE_PATH.read_text())
     assert generated == slopes.render(record)
 
 
-def test_verdict_shows_the_figures_of_the_recorded_run() -> None:
-    record = json.loads(slopes.RECORDED.read_text())
+def test_summary_shows_the_figures_of_the_recorded_run() -> None:
+    record = json.loads(slopes.RECORD_PATH.read_text())
     found = sizing.summarise(slopes.read_slopes(record))
-    verdict, _, _ = slopes.split_page(slopes.PAGE.read_text())
+    summary, _, _ = slopes.split_page(slopes.PAGE_PATH.read_text())
     for prefix in ("", "planned_"):
-        assert f"{found[f'{prefix}control_bytes_per_second']:,.0f}" in verdict
-        assert f"{found[f'{prefix}control_core_percent']}" in verdict
-        assert f"{found[f'{prefix}control_memory_mb']}" in verdict
+        assert f"{found[f'{prefix}control_bytes_per_second']:,.0f}" in summary
+        assert f"{found[f'{prefix}control_core_percent']}" in summary
+        assert f"{found[f'{prefix}control_memory_mb']}" in summary
 
 
 def test_every_slope_is_taken_at_three_sizes() -> None:
-    record = json.loads(slopes.RECORDED.read_text())
+    record = json.loads(slopes.RECORD_PATH.read_text())
     assert all(len(one["sizes"]) >= 3 for one in record["slopes"])
 
 
