--- a/bench/soakparts.py
+++ b/bench/soakparts.py
@@ -259,9 +259,7 @@
             sock.close()
 
     def _run(self) -> None:
-        request = (
-            f"GET /calls/1 HTTP/1.1\r\nHost: {sampleconfig.HOST}\r\n\r\n".encode()
-        )
+        request = f"GET /calls/1 HTTP/1.1\r\nHost: {sampleconfig.HOST}\r\n\r\n".encode()
         while not self._stopped.wait(LEAK_INTERVAL_SECONDS):
             with contextlib.suppress(OSError):
                 sock = socket.create_connection(self._router.front, timeout=1.0)
@@ -348,7 +346,7 @@
                 return ids.Address.parse(self._random.choice(found["addresses"]))
             except (OSError, http.client.HTTPException, ValueError, KeyError):
                 continue
-        raise OSError(f"no router directory resolved {desk.HOST!r}")
+        raise OSError(f"no router directory resolved {sampleconfig.HOST!r}")
 
 
 def find_mismatch(
