--- a/bench/exchange_bench.py
+++ b/bench/exchange_bench.py
@@ -14,7 +14,7 @@
 import matplotlib
 import numpy as np
 
-from bench import homes_policy, traces, world
+from bench import homes_policy, simulation, traces
 from celeryspan.decisions import reporting
 
 matplotlib.use("svg")
@@ -25,8 +25,8 @@
 SEEDS = 5
 
 CASES = {
-    "uneven": traces.Case(seconds=90.0),
-    "even": traces.Case(seconds=90.0, even=True),
+    "uneven": traces.Workload(seconds=90.0),
+    "even": traces.Workload(seconds=90.0, equal_accounts=True),
 }
 
 VALUES = {
@@ -49,16 +49,18 @@
 def measure(trial: Trial) -> tuple[float, float]:
     """Return the gap, and control bytes per router and second."""
     firm, case = traces.FIRMS[trial.firm], CASES[trial.case]
-    owner = world.World(traces.generate(firm, case, trial.seed), trial.seed)
+    simulator = simulation.Simulator(
+        traces.generate(firm, case, trial.seed), trial.seed
+    )
 
-    class Policy(homes_policy.Celeryspan):
+    class Policy(homes_policy.CeleryspanPolicy):
         """The fleet under the rule of this trial."""
 
         def make_rule(self) -> reporting.Rule:
             return reporting.RULES[trial.rule](trial.value)
 
-    owner.run(Policy(owner))
-    found = owner.measures.report()
+    simulator.run(Policy(simulator))
+    found = simulator.measures.report()
     return found["gap_max"], found["control_bytes_per_router_second"]
 
 
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -29,20 +29,20 @@
 PROCESSES = 3
 
 CASES = {
-    "twice": traces.Case(),
-    "ten-times": traces.Case(load=10.0, seconds=30.0),
-    "one-router": traces.Case(lone=True),
-    "long-jobs": traces.Case(long=True),
-    "flood": traces.Case(load=0.7, floods=3.0),
-    "burst": traces.Case(load=0.9, burst=True),
-    "longer": traces.Case(seconds=240.0),
-    "cut": traces.Case(
+    "twice": traces.Workload(),
+    "ten-times": traces.Workload(load=10.0, seconds=30.0),
+    "one-router": traces.Workload(on_one_router=True),
+    "long-jobs": traces.Workload(long_requests=True),
+    "flood": traces.Workload(load=0.7, flood_load=3.0),
+    "burst": traces.Workload(load=0.9, burst=True),
+    "longer": traces.Workload(seconds=240.0),
+    "cut": traces.Workload(
         faults=(
             traces.Fault(40.0, "cut", (4, 5)),
             traces.Fault(70.0, "heal", (4, 5)),
         )
     ),
-    "restart": traces.Case(faults=(traces.Fault(40.0, "restart", (0,)),)),
+    "restart": traces.Workload(faults=(traces.Fault(40.0, "restart", (0,)),)),
 }
 
 COLUMNS = (
--- a/bench/node.py
+++ b/bench/node.py
@@ -9,7 +9,7 @@
 import collections
 from typing import TYPE_CHECKING
 
-from bench import policies, world
+from bench import policies, simulation
 from celeryspan import ids
 from celeryspan.decisions import grants, homes, partitions, reporting, sharing
 from celeryspan.wire import messages
@@ -21,15 +21,15 @@
 
 # Bytes of a message and of the frame around one or several. The codec takes 73 to 93
 # bytes for a frame of one message, and 25 to 38 for each further one.
-MESSAGE_BYTES = 40
-FRAME_BYTES = 40
+BYTES_PER_MESSAGE = 40
+BYTES_PER_FRAME = 40
 
 # Seconds between two looks at what must be told. At 100 ms the homes of a service of
 # short requests grant several slots before they hear of each other.
 TICK_SECONDS = 0.02
 
 # Seconds in which changes of demand are put into one frame.
-BATCH_SECONDS = 0.001
+URGENT_BATCH_SECONDS = 0.001
 
 Key = tuple[str, str]
 Shared = messages.Counter | messages.Lift | messages.Pending
@@ -38,13 +38,13 @@
 class Node:
     """One router: its queues, its ledger and what it knows of the others."""
 
-    def __init__(self, fleet: homes_policy.Celeryspan, index: int) -> None:
+    def __init__(self, fleet: homes_policy.CeleryspanPolicy, index: int) -> None:
         self.fleet = fleet
-        self.world = fleet.world
+        self.simulator = fleet.simulator
         self.index = index
         self.name = ids.RouterId(f"router-{index}")
-        self.incarnation = ids.Incarnation(self.world.incarnations[index])
-        weights = self.world.trace.accounts
+        self.incarnation = ids.Incarnation(self.simulator.incarnations[index])
+        weights = self.simulator.trace.accounts
         self.counters = sharing.Counters(
             self.name, self.incarnation, lambda account: weights[account]
         )
@@ -54,73 +54,75 @@
         self.exchange = reporting.CounterReporter(fleet.make_rule())
         self.demands = reporting.DemandReporter()
         self.estimator = sharing.CostEstimator()
-        self.queues: dict[Key, collections.deque[world.Job]] = {}
-        self.running: dict[world.Job, messages.Grant] = {}
+        self.queues: dict[Key, collections.deque[simulation.Job]] = {}
+        self.running: dict[simulation.Job, messages.Grant] = {}
         self.units: dict[Key, float] = {}
         self.view: tuple[int, ...] = ()
         self.homes: dict[str, dict[str, int]] = {}
         self.leaving: set[str] = set()
         self.started = False
         self.sequence = 0
-        self.turn = 0
-        self.planned: set[Key] = set()
+        self.rotation = 0
+        self.scheduled_reports: set[Key] = set()
         self.in_use: dict[str, int] = {}
 
     def start(self) -> None:
         """Begin to look for what must be told, each router at its own moment."""
         if not self.started:
             self.started = True
-            routers = self.world.trace.routers
-            self.world.after(TICK_SECONDS * self.index / routers, self.tick)
+            routers = self.simulator.trace.routers
+            self.simulator.schedule_after(
+                TICK_SECONDS * self.index / routers, self.tick
+            )
 
-    def arrive(self, job: world.Job) -> None:
+    def handle_arrival(self, job: simulation.Job) -> None:
         """Queue a request and tell a home."""
         self.queues.setdefault(job.key, collections.deque()).append(job)
-        self.plan_demand(job.key)
+        self.schedule_demand_report(job.key)
 
-    def drop(self, job: world.Job) -> None:
+    def handle_refusal(self, job: simulation.Job) -> None:
         """Take out a request that was refused."""
         queue = self.queues.get(job.key, ())
         if job in queue:
             queue.remove(job)
-            self.plan_demand(job.key)
+            self.schedule_demand_report(job.key)
 
-    def end(self, job: world.Job) -> None:
+    def handle_end(self, job: simulation.Job) -> None:
         """Give a slot back with the true cost of its request."""
         grant = self.running.pop(job)
-        self.count(job, job.request.cost)
+        self.record_streamed(job, job.request.cost)
         self.estimator.record_cost(*job.key, job.request.cost)
-        self.give_back(grant, job.request.cost)
+        self.release_slot(grant, job.request.cost)
 
-    def count(self, job: world.Job, given: float) -> None:
+    def record_streamed(self, job: simulation.Job, streamed: float) -> None:
         """Count service that has streamed since the last look."""
-        units = given - job.told
-        job.told = given
+        units = streamed - job.reported_units
+        job.reported_units = streamed
         self.counters.record_service(*job.key, units)
         self.units[job.key] = self.units.get(job.key, 0.0) + units
 
-    def give_back(self, grant: messages.Grant, cost: float) -> None:
+    def release_slot(self, grant: messages.Grant, cost: float) -> None:
         """Tell the home that a slot is free."""
         ended = messages.GrantEnded(grant.grant, grant.server, grant.account, cost)
-        self.send_home(grant.server, Node.take_ended, ended)
+        self.send_to_home(grant.server, Node.handle_ended, ended)
 
-    def plan_demand(self, key: Key) -> None:
+    def schedule_demand_report(self, key: Key) -> None:
         """Tell homes soon if one believes something false, else later."""
-        if key in self.planned:
+        if key in self.scheduled_reports:
             return
         waiting = len(self.queues[key])
-        believers = self.demands.informed_homes(key)
-        urgent = bool(believers) != bool(waiting)
-        self.planned.add(key)
-        seconds = BATCH_SECONDS if urgent else reporting.DEMAND_BATCH_SECONDS
-        self.world.after(seconds, self.tell_demand, key)
+        informed_homes = self.demands.informed_homes(key)
+        urgent = bool(informed_homes) != bool(waiting)
+        self.scheduled_reports.add(key)
+        seconds = URGENT_BATCH_SECONDS if urgent else reporting.DEMAND_BATCH_SECONDS
+        self.simulator.schedule_after(seconds, self.send_demand_reports, key)
 
-    def tell_demand(self, key: Key) -> None:
+    def send_demand_reports(self, key: Key) -> None:
         """Tell the homes of a service how much of an account waits here."""
-        self.planned.discard(key)
+        self.scheduled_reports.discard(key)
         if not self.is_current():
             return
-        now, waiting = self.world.now, len(self.queues[key])
+        now, waiting = self.simulator.now, len(self.queues[key])
         stage = self.demands.find_stage(key, waiting, now)
         targets = dict.fromkeys(self.demands.informed_homes(key))
         targets.update(dict.fromkeys(self.pick_homes(key, stage)))
@@ -128,10 +130,12 @@
             if self.demands.reported_waiting(key, home) != waiting:
                 self.demands.record_report(key, home, waiting)
                 self.sequence += 1
-                self.send(int(home[7:]), Node.take_demand, self.make_demand(key))
+                self.send(int(home[7:]), Node.handle_demand, self.build_demand(key))
         if stage is reporting.Stage.ONE:
-            self.planned.add(key)
-            self.world.after(reporting.ESCALATE_SECONDS, self.tell_demand, key)
+            self.scheduled_reports.add(key)
+            self.simulator.schedule_after(
+                reporting.ESCALATE_SECONDS, self.send_demand_reports, key
+            )
 
     def pick_homes(self, key: Key, stage: reporting.Stage) -> Iterable[ids.RouterId]:
         """Return the homes that hear of a queue."""
@@ -140,98 +144,98 @@
         if stage is reporting.Stage.NONE or not names:
             return ()
         if stage is reporting.Stage.ALL:
-            attempt = self.demands.find_sample_number(key, self.world.now)
+            attempt = self.demands.find_sample_number(key, self.simulator.now)
             return homes.sample_homes(set(names.values()), self.name, key[0], attempt)
-        self.turn += 1
-        first = homes.pick_first_home(names, self.name, key[0], self.turn)
+        self.rotation += 1
+        first = homes.pick_first_home(names, self.name, key[0], self.rotation)
         return () if self.demands.informed_homes(key) or first is None else (first,)
 
-    def make_demand(self, key: Key) -> messages.Demand:
+    def build_demand(self, key: Key) -> messages.Demand:
         """Return the report of a queue."""
         queue = self.queues[key]
-        age = self.world.now - queue[0].request.at if queue else 0.0
+        age = self.simulator.now - queue[0].request.at if queue else 0.0
         hint = queue[0].request.hint if queue else None
-        typical = policies.TYPICAL_COST
+        typical = policies.TYPICAL_COST_UNITS
         cost = self.estimator.estimate(*key, hint, typical) if queue else 0.0
         return messages.Demand(*key, len(queue), age, self.sequence, cost)
 
-    def take_demand(self, sender: int, demand: messages.Demand) -> None:
+    def handle_demand(self, sender: int, demand: messages.Demand) -> None:
         """Act as home: note a report."""
-        self.ledger.update_demand(self.fleet.names[sender], demand, self.world.now)
-        self.issue()
+        self.ledger.update_demand(self.fleet.names[sender], demand, self.simulator.now)
+        self.issue_grants()
 
-    def take_used(self, sender: int, used: messages.GrantUsed) -> None:
+    def handle_used(self, sender: int, used: messages.GrantUsed) -> None:
         """Act as home: note that a request was sent."""
-        self.ledger.mark_used(self.fleet.names[sender], used, self.world.now)
+        self.ledger.mark_used(self.fleet.names[sender], used, self.simulator.now)
 
-    def take_ended(self, sender: int, ended: messages.GrantEnded) -> None:
+    def handle_ended(self, sender: int, ended: messages.GrantEnded) -> None:
         """Act as home: note that a slot is free."""
-        self.ledger.end_grant(self.fleet.names[sender], ended, self.world.now)
-        self.issue()
+        self.ledger.end_grant(self.fleet.names[sender], ended, self.simulator.now)
+        self.issue_grants()
 
-    def take_held(self, sender: int, held: messages.SlotsHeld) -> None:
+    def handle_held(self, sender: int, held: messages.SlotsHeld) -> None:
         """Act as home: note which slots a router holds."""
-        self.ledger.set_held(self.fleet.names[sender], held, self.world.now)
-        self.issue()
+        self.ledger.set_held(self.fleet.names[sender], held, self.simulator.now)
+        self.issue_grants()
 
-    def take_leaving(self, sender: int, server: str) -> None:
+    def handle_leaving(self, sender: int, server: str) -> None:
         """Act as home: grant nothing more of a server."""
         self.leaving.add(server)
         self.set_windows()
 
-    def issue(self) -> None:
+    def issue_grants(self) -> None:
         """Act as home: grant what is free."""
-        for issued in self.ledger.issue(self.world.now):
-            self.send(int(issued.router[7:]), Node.take_grant, issued.grant)
+        for issued in self.ledger.issue(self.simulator.now):
+            self.send(int(issued.router[7:]), Node.handle_grant, issued.grant)
 
-    def take_grant(self, sender: int, grant: messages.Grant) -> None:
+    def handle_grant(self, sender: int, grant: messages.Grant) -> None:
         """Send the first request of the account, or give the grant back."""
         key = (grant.service, grant.account)
         queue = self.queues.get(key)
         if not queue:
-            self.refuse(key, grant)
+            self.return_unused_grant(key, grant)
             return
         job = queue[0]
-        if not self.world.start(job, grant.server):
-            self.send_home(grant.server, Node.take_leaving, grant.server)
-            self.refuse(key, grant)
+        if not self.simulator.start_request(job, grant.server):
+            self.send_to_home(grant.server, Node.handle_leaving, grant.server)
+            self.return_unused_grant(key, grant)
             return
         queue.popleft()
         self.running[job] = grant
-        self.demands.record_use(key, self.fleet.names[sender], self.world.now)
+        self.demands.record_use(key, self.fleet.names[sender], self.simulator.now)
         used = messages.GrantUsed(grant.grant, grant.server, grant.account, 0.0)
-        self.send_home(grant.server, Node.take_used, used)
-        self.plan_demand(key)
+        self.send_to_home(grant.server, Node.handle_used, used)
+        self.schedule_demand_report(key)
 
-    def refuse(self, key: Key, grant: messages.Grant) -> None:
+    def return_unused_grant(self, key: Key, grant: messages.Grant) -> None:
         """Return a grant unused; its home takes it that nothing waits here."""
         home = self.homes[grant.service][grant.server]
         self.demands.record_report(key, self.fleet.names[home], 0)
-        self.give_back(grant, 0.0)
-        self.plan_demand(key)
+        self.release_slot(grant, 0.0)
+        self.schedule_demand_report(key)
 
     def tick(self) -> None:
         """Tell the other homes what has changed."""
         if not self.is_current():
             return
         for job in self.running:
-            self.count(job, self.world.given(job))
-        self.tell(self.find_counters())
-        self.tell(self.ledger.pop_lifts())
-        self.tell(self.ledger.pop_pending())
-        self.ledger.expire(self.world.now)
-        self.issue()
-        self.world.after(TICK_SECONDS, self.tick)
-
-    def find_counters(self) -> list[messages.Counter]:
+            self.record_streamed(job, self.simulator.streamed_units(job))
+        self.share_with_homes(self.find_due_counters())
+        self.share_with_homes(self.ledger.pop_lifts())
+        self.share_with_homes(self.ledger.pop_pending())
+        self.ledger.expire(self.simulator.now)
+        self.issue_grants()
+        self.simulator.schedule_after(TICK_SECONDS, self.tick)
+
+    def find_due_counters(self) -> list[messages.Counter]:
         """Return the counters that are due."""
-        due = self.exchange.find_due(self.units, None, self.world.now)
+        due = self.exchange.find_due(self.units, None, self.simulator.now)
         return [
             messages.Counter(self.name, self.incarnation, *key, self.units[key])
             for key in due
         ]
 
-    def tell(self, items: list[Shared]) -> None:
+    def share_with_homes(self, items: list[Shared]) -> None:
         """Send each item to the homes of its service, in one frame for each."""
         frames: dict[int, list[Shared]] = {}
         for item in items:
@@ -239,9 +243,9 @@
                 if home != self.index:
                     frames.setdefault(home, []).append(item)
         for home, frame in frames.items():
-            self.send(home, Node.take_shared, frame, count=len(frame))
+            self.send(home, Node.handle_shared, frame, count=len(frame))
 
-    def take_shared(self, sender: int, frame: list[Shared]) -> None:
+    def handle_shared(self, sender: int, frame: list[Shared]) -> None:
         """Take in what another router tells of service."""
         for item in frame:
             if isinstance(item, messages.Counter):
@@ -251,106 +255,110 @@
             else:
                 self.counters.merge_pending(self.fleet.names[sender], item)
 
-    def take_snapshot(self, sender: int, snapshot: sharing.Snapshot) -> None:
+    def handle_snapshot(self, sender: int, snapshot: sharing.Snapshot) -> None:
         """Take in what a peer knows."""
         self.counters.load_snapshot(snapshot)
 
-    def change_view(self) -> None:
+    def update_view(self) -> None:
         """Follow the membership: homes move, and routers that are gone are freed."""
-        routers = range(self.world.trace.routers)
-        view = tuple(item for item in routers if self.world.sees(self.index, item))
+        routers = range(self.simulator.trace.routers)
+        view = tuple(
+            item for item in routers if self.simulator.can_reach(self.index, item)
+        )
         gone = [item for item in self.view if item not in view]
         self.view = view
         for router in gone:
-            self.forget(router)
+            self.forget_router(router)
         self.move_homes()
         self.set_windows()
         for key in self.queues:
-            self.plan_demand(key)
-        self.issue()
+            self.schedule_demand_report(key)
+        self.issue_grants()
 
-    def forget(self, router: int) -> None:
+    def forget_router(self, router: int) -> None:
         """Free what a router held that is out of reach."""
         name = self.fleet.names[router]
         self.ledger.forget_router(name)
         self.counters.forget_pending(name)
         self.demands.forget(name)
 
-    def teach(self, router: int, service: str) -> None:
+    def send_snapshot(self, router: int, service: str) -> None:
         """Tell a new home of a service what this one knows."""
         self.exchange.forget(service)
-        mates = set(self.homes[service].values()) - {router}
-        if self.index != min(mates, default=None):
+        peers = set(self.homes[service].values()) - {router}
+        if self.index != min(peers, default=None):
             return
         snapshot = self.counters.snapshot()
         count = len(snapshot.counters) + len(snapshot.lifts) + len(snapshot.folded)
-        self.send(router, Node.take_snapshot, snapshot, count=count)
+        self.send(router, Node.handle_snapshot, snapshot, count=count)
 
     def move_homes(self) -> None:
         """Find the homes anew; take over and hand on."""
         names = [self.fleet.names[item] for item in self.view]
         old = dict(item for found in self.homes.values() for item in found.items())
-        for service in self.world.services:
+        for service in self.simulator.services:
             servers = self.fleet.servers[service]
             found = homes.assign_homes(servers, names)
             before = set(self.homes.get(service, {}).values())
             self.homes[service] = {key: int(home[7:]) for key, home in found.items()}
             for server, home in self.homes[service].items():
                 if old.get(server) != home:
-                    self.move(server, service, old.get(server), home)
+                    self.move_home(server, service, old.get(server), home)
             for home in sorted(set(self.homes[service].values()) - before):
-                self.teach(home, service)
-        self.tell(self.ledger.list_pending())
+                self.send_snapshot(home, service)
+        self.share_with_homes(self.ledger.list_pending())
 
-    def move(self, server: str, service: str, old: int | None, new: int) -> None:
+    def move_home(self, server: str, service: str, old: int | None, new: int) -> None:
         """Follow the move of one server's home."""
         if old == self.index:
             self.ledger.remove_server(server)
         if new == self.index:
-            spec = self.world.servers[server].spec
+            spec = self.simulator.servers[server].spec
             awaited = [self.fleet.names[item] for item in self.view]
-            now = self.world.now
+            now = self.simulator.now
             self.ledger.add_server(server, service, spec.slots, now, awaited)
         held = tuple(
             (job.request.account, 0.0) for job in self.running if job.server == server
         )
-        self.send(new, Node.take_held, messages.SlotsHeld(server, held))
+        self.send(new, Node.handle_held, messages.SlotsHeld(server, held))
 
     def set_windows(self) -> None:
         """Set the window of each server whose home this is."""
         for server in self.ledger.servers():
-            entry = self.world.servers[server]
+            entry = self.simulator.servers[server]
             if server in self.leaving or (
-                entry.leaving and entry.left_at + world.LEAVE_SECONDS <= self.world.now
+                entry.leaving
+                and entry.left_at + simulation.LEAVE_NOTICE_SECONDS
+                <= self.simulator.now
             ):
                 self.ledger.set_window(server, 0)
                 continue
             others = None
             if server in self.in_use:
-                others = max(0, entry.reported - self.in_use[server])
+                others = max(0, entry.reported_running - self.in_use[server])
             window = partitions.share_window(
-                entry.spec.slots, len(self.view), self.world.trace.routers, others
+                entry.spec.slots, len(self.view), self.simulator.trace.routers, others
             )
             self.ledger.set_window(server, window)
 
-    def note_load(self) -> None:
+    def handle_load_reports(self) -> None:
         """Take in the load reports, which are one period old."""
         self.set_windows()
         self.in_use = {item: self.ledger.in_use(item) for item in self.ledger.servers()}
-        self.issue()
+        self.issue_grants()
 
     def send(self, target: int, call: Callable, item: object, count: int = 1) -> None:
         """Send a message to a router."""
-        size = FRAME_BYTES + count * MESSAGE_BYTES
-        self.world.send(
+        size = BYTES_PER_FRAME + count * BYTES_PER_MESSAGE
+        self.simulator.send(
             self.index, target, size, self.fleet.deliver, target, call, self.index, item
         )
 
-    def send_home(self, server: str, call: Callable, item: object) -> None:
+    def send_to_home(self, server: str, call: Callable, item: object) -> None:
         """Send a message to the home of a server."""
-        service = self.world.servers[server].spec.service
+        service = self.simulator.servers[server].spec.service
         self.send(self.homes[service][server], call, item)
 
     def is_current(self) -> bool:
         """Return whether this incarnation still runs."""
-        return self.fleet.nodes[self.index] is self and self.world.alive[self.index]
+        return self.fleet.nodes[self.index] is self and self.simulator.alive[self.index]
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -5,20 +5,20 @@
 import collections
 from typing import TYPE_CHECKING
 
-from bench import world
+from bench import simulation
 from celeryspan import ids
 from celeryspan.decisions import preemption, sharing, slotcharge
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-POLICIES: dict[str, Callable[[world.World], world.Policy]] = {}
+POLICIES: dict[str, Callable[[simulation.Simulator], simulation.Policy]] = {}
 
 # Typical cost of the services' register entries, in cost units.
-TYPICAL_COST = 420.0
+TYPICAL_COST_UNITS = 420.0
 
 # Seconds between two rebalancings of leased shares.
-LEASE_SECONDS = 1.0
+REBALANCE_SECONDS = 1.0
 
 # Services whose streams can be cancelled and resumed.
 MODEL_SERVICES = ("lm-pool", "planner-llm")
@@ -28,10 +28,10 @@
 
 def register(
     name: str,
-) -> Callable[[Callable[[world.World], world.Policy]], Callable]:
+) -> Callable[[Callable[[simulation.Simulator], simulation.Policy]], Callable]:
     """Enter a policy under a name."""
 
-    def enter(maker: Callable[[world.World], world.Policy]) -> Callable:
+    def enter(maker: Callable[[simulation.Simulator], simulation.Policy]) -> Callable:
         POLICIES[name] = maker
         return maker
 
@@ -43,53 +43,55 @@
 
     Parameters
     ----------
-    charge : str
+    charging_rule : str
         Name of the rule by which requests in progress count.
     """
 
-    def __init__(self, owner: world.World, charge: str = "slots") -> None:
-        self._world = owner
-        self._charge = charge
+    def __init__(
+        self, simulator: simulation.Simulator, charging_rule: str = "slots"
+    ) -> None:
+        self._simulator = simulator
+        self._charging_rule = charging_rule
         self._estimator = sharing.CostEstimator()
         self._slot_charge = slotcharge.SlotCharge()
-        self._queues: dict[Key, collections.deque[world.Job]] = {}
-        self._running: dict[Key, dict[world.Job, float]] = {}
+        self._queues: dict[Key, collections.deque[simulation.Job]] = {}
+        self._running: dict[Key, dict[simulation.Job, float]] = {}
         self._settled: dict[Key, float] = {}
         self._suspended: dict[Key, float] = {}
         self._lifts: dict[Key, float] = {}
         self._floors: dict[str, float] = {}
 
-    def push(self, job: world.Job) -> None:
+    def push(self, job: simulation.Job) -> None:
         """Add a request; an account that becomes backlogged is lifted."""
         queue = self._queues.setdefault(job.key, collections.deque())
         if not queue:
             self._lift(job.key)
         queue.append(job)
 
-    def remove(self, job: world.Job) -> None:
+    def remove(self, job: simulation.Job) -> None:
         """Take out a request that was refused."""
         if job in self._queues.get(job.key, ()):
             self._queues[job.key].remove(job)
 
-    def pop(self, service: str) -> world.Job | None:
+    def pop(self, service: str) -> simulation.Job | None:
         """Return the next request of a service."""
         keys = [key for key, queue in self._queues.items() if queue]
         keys = [key for key in keys if key[0] == service]
         if not keys:
             return None
-        key = min(keys, key=lambda item: (self._standing(item), item))
+        key = min(keys, key=lambda item: (self._priority(item), item))
         level = self._level(key)
         self._floors[service] = max(level, self._floors.get(service, 0.0))
         job = self._queues[key].popleft()
         request = job.request
-        if job.done:
-            self._suspended[key] -= job.done
-        estimate = self._estimator.estimate(*key, request.hint, TYPICAL_COST)
+        if job.resumed_from:
+            self._suspended[key] -= job.resumed_from
+        estimate = self._estimator.estimate(*key, request.hint, TYPICAL_COST_UNITS)
         self._slot_charge.record_estimate(service, estimate)
         self._running.setdefault(key, {})[job] = estimate
         return job
 
-    def finish(self, job: world.Job) -> None:
+    def finish(self, job: simulation.Job) -> None:
         """Settle a request to its true cost."""
         self._running[job.key].pop(job)
         cost = job.request.cost
@@ -97,15 +99,15 @@
         self._estimator.record_cost(*job.key, cost)
         self._slot_charge.record_cost(job.key[0], cost)
 
-    def put_back(self, job: world.Job) -> None:
+    def requeue(self, job: simulation.Job) -> None:
         """Queue a request again whose stream was cancelled, before all others."""
         self._running[job.key].pop(job)
-        self._suspended[job.key] = self._suspended.get(job.key, 0.0) + job.done
+        self._suspended[job.key] = self._suspended.get(job.key, 0.0) + job.resumed_from
         self._queues.setdefault(job.key, collections.deque()).appendleft(job)
 
     def describe(
         self, service: str
-    ) -> tuple[dict[str, float], list[str], list[world.Job]]:
+    ) -> tuple[dict[str, float], list[str], list[simulation.Job]]:
         """Return the levels of all accounts, who waits, and what runs."""
         keys = [key for key in self._queues if key[0] == service]
         levels = {key[1]: self._level(key) for key in keys}
@@ -113,7 +115,7 @@
         running = [job for key in keys for job in self._running.get(key, ())]
         return levels, waiting, running
 
-    def forget(self, job: world.Job) -> None:
+    def forget(self, job: simulation.Job) -> None:
         """Drop a request whose router lost its state."""
         self._running.get(job.key, {}).pop(job, None)
         self.remove(job)
@@ -127,30 +129,36 @@
         return found
 
     def _level(self, key: Key) -> float:
-        weight = self._world.trace.accounts[key[1]]
+        weight = self._simulator.trace.accounts[key[1]]
         units = self._settled.get(key, 0.0) + self._suspended.get(key, 0.0)
-        if self._charge != "dispatch":
+        if self._charging_rule != "dispatch":
             for job in self._running.get(key, ()):
-                units += self._world.given(job)
+                units += self._simulator.streamed_units(job)
         return units / weight + self._lifts.get(key, 0.0)
 
-    def _standing(self, key: Key) -> float:
-        weight = self._world.trace.accounts[key[1]]
-        return self._level(key) + self._pending(key) / weight
+    def _priority(self, key: Key) -> float:
+        weight = self._simulator.trace.accounts[key[1]]
+        return self._level(key) + self._pending_charge(key) / weight
 
-    def _pending(self, key: Key) -> float:
+    def _pending_charge(self, key: Key) -> float:
         running = self._running.get(key, {})
-        if self._charge == "slots":
+        if self._charging_rule == "slots":
             return self._slot_charge.per_slot(key[0]) * len(running)
-        if self._charge == "streamed":
+        if self._charging_rule == "streamed":
             return 0.0
-        if self._charge in ("estimate", "dispatch"):
+        if self._charging_rule in ("estimate", "dispatch"):
             return sum(running.values())
-        if self._charge == "true":
+        if self._charging_rule == "true":
             return sum(job.request.cost for job in running)
-        if self._charge == "true-left":
-            return sum(job.request.cost - self._world.given(job) for job in running)
-        left = (value - self._world.given(job) for job, value in running.items())
+        if self._charging_rule == "true-left":
+            return sum(
+                job.request.cost - self._simulator.streamed_units(job)
+                for job in running
+            )
+        left = (
+            value - self._simulator.streamed_units(job)
+            for job, value in running.items()
+        )
         return sum(max(0.0, value) for value in left)
 
     def _lift(self, key: Key) -> None:
@@ -164,187 +172,193 @@
         self._lifts[key] = self._lifts.get(key, 0.0) + missing
 
 
-class Central:
+class CentralScheduler:
     """One queue for the whole fleet that sees everything without delay."""
 
-    charge = "slots"
+    charging_rule = "slots"
 
-    def __init__(self, owner: world.World) -> None:
-        self._world = owner
-        self._queue = FairQueue(owner, self.charge)
+    def __init__(self, simulator: simulation.Simulator) -> None:
+        self._simulator = simulator
+        self._queue = FairQueue(simulator, self.charging_rule)
 
-    def arrive(self, job: world.Job) -> None:
+    def handle_arrival(self, job: simulation.Job) -> None:
         """Queue a request and fill free slots."""
         self._queue.push(job)
-        self._fill(job.key[0])
+        self._fill_slots(job.key[0])
 
-    def end(self, job: world.Job) -> None:
+    def handle_end(self, job: simulation.Job) -> None:
         """Settle a request and fill its slot."""
         self._queue.finish(job)
-        self._fill(job.key[0])
+        self._fill_slots(job.key[0])
 
-    def drop(self, job: world.Job) -> None:
+    def handle_refusal(self, job: simulation.Job) -> None:
         """Take out a request that was refused."""
         self._queue.remove(job)
 
-    def change(self) -> None:
+    def handle_topology_change(self) -> None:
         """Fill slots: a server may have returned."""
-        for service in self._world.services:
-            self._fill(service)
+        for service in self._simulator.services:
+            self._fill_slots(service)
 
-    def lose(self, router: int) -> None:
+    def handle_restart(self, router: int) -> None:
         """Drop the requests of a router that lost its state."""
-        for job in self._world.jobs:
+        for job in self._simulator.jobs:
             if job.router == router and job.outcome is not None:
                 self._queue.forget(job)
-        self.change()
+        self.handle_topology_change()
 
-    def _fill(self, service: str) -> None:
+    def _fill_slots(self, service: str) -> None:
         while True:
-            server = pick_server(self._world, service)
+            server = pick_server(self._simulator, service)
             job = self._queue.pop(service) if server else None
             if server is None or job is None:
                 return
-            self._world.start(job, server)
+            self._simulator.start_request(job, server)
 
 
-def pick_server(owner: world.World, service: str) -> str | None:
+def pick_server(simulator: simulation.Simulator, service: str) -> str | None:
     """Return the server of a service with the greatest free part, or None."""
     servers = [
         item
-        for item in owner.servers.values()
-        if item.spec.service == service and item.free
+        for item in simulator.servers.values()
+        if item.spec.service == service and item.free_slots
     ]
     if not servers:
         return None
-    return max(servers, key=lambda item: item.free / item.spec.slots).spec.id
+    return max(servers, key=lambda item: item.free_slots / item.spec.slots).spec.id
 
 
 @register("oracle")
-class Oracle(Central):
+class Oracle(CentralScheduler):
     """The limit: the best charging rule found, without any delay."""
 
 
 for _rule in ("streamed", "dispatch", "estimate", "left", "true", "true-left"):
-    register(f"oracle-{_rule}")(type("Oracle", (Central,), {"charge": _rule}))
+    register(f"oracle-{_rule}")(
+        type("Oracle", (CentralScheduler,), {"charging_rule": _rule})
+    )
 
 
-class Preempting(Central):
+class PreemptiveOracle(CentralScheduler):
     """The oracle that takes slots back from an account that is far ahead.
 
     Only idempotent requests of the services whose name tells of a model are cancelled.
     """
 
-    ahead = 2000.0
+    min_lead_units = 2000.0
 
-    def __init__(self, owner: world.World) -> None:
-        super().__init__(owner)
-        owner.after(preemption.PREEMPTION_INTERVAL_SECONDS, self._preempt)
+    def __init__(self, simulator: simulation.Simulator) -> None:
+        super().__init__(simulator)
+        simulator.schedule_after(preemption.PREEMPTION_INTERVAL_SECONDS, self._preempt)
 
     def _preempt(self) -> None:
-        for service in self._world.services:
+        for service in self._simulator.services:
             if service in MODEL_SERVICES:
                 self._preempt_service(service)
-        self._world.after(preemption.PREEMPTION_INTERVAL_SECONDS, self._preempt)
+        self._simulator.schedule_after(
+            preemption.PREEMPTION_INTERVAL_SECONDS, self._preempt
+        )
 
     def _preempt_service(self, service: str) -> None:
         levels, waiting, running = self._queue.describe(service)
         streams = {
             preemption.Stream(
-                ids.RequestId(str(job.number)), job.key[1], self._world.given(job)
+                ids.RequestId(str(job.number)),
+                job.key[1],
+                self._simulator.streamed_units(job),
             ): job
             for job in running
             if job.request.idempotent
         }
-        victim = preemption.pick_victim(levels, waiting, streams, self.ahead)
+        victim = preemption.pick_victim(levels, waiting, streams, self.min_lead_units)
         if victim is not None:
             job = streams[victim]
-            self._world.suspend(job, preemption.RECOMPUTE_COST_SHARE)
-            self._queue.put_back(job)
-            self._fill(service)
+            self._simulator.suspend(job, preemption.RECOMPUTE_COST_SHARE)
+            self._queue.requeue(job)
+            self._fill_slots(service)
 
 
-for _ahead in (1000, 2000, 4000):
-    register(f"oracle-preempt-{_ahead}")(
-        type("Preempting", (Preempting,), {"ahead": float(_ahead)})
+for _lead in (1000, 2000, 4000):
+    register(f"oracle-preempt-{_lead}")(
+        type("PreemptiveOracle", (PreemptiveOracle,), {"min_lead_units": float(_lead)})
     )
 
 
-class FifoQueue(FairQueue):
+class ArrivalOrderQueue(FairQueue):
     """All accounts in one line."""
 
-    def _standing(self, key: Key) -> float:
+    def _priority(self, key: Key) -> float:
         return self._queues[key][0].request.at
 
 
 @register("fifo")
-class Fifo(Central):
+class ArrivalOrder(CentralScheduler):
     """One line for the whole fleet, in order of arrival."""
 
-    def __init__(self, owner: world.World) -> None:
-        super().__init__(owner)
-        self._queue = FifoQueue(owner)
+    def __init__(self, simulator: simulation.Simulator) -> None:
+        super().__init__(simulator)
+        self._queue = ArrivalOrderQueue(simulator)
 
 
 @register("alone")
-class Alone:
+class IsolatedRouters:
     """Each router keeps an equal share of each window and counters of its own."""
 
-    def __init__(self, owner: world.World) -> None:
-        self._world = owner
-        routers = range(owner.trace.routers)
-        self._queues = [FairQueue(owner) for _ in routers]
+    def __init__(self, simulator: simulation.Simulator) -> None:
+        self._simulator = simulator
+        routers = range(simulator.trace.routers)
+        self._queues = [FairQueue(simulator) for _ in routers]
         self._held: list[dict[str, int]] = [collections.Counter() for _ in routers]
-        self._shares = [self._split(router) for router in routers]
+        self._shares = [self._split_windows(router) for router in routers]
 
-    def arrive(self, job: world.Job) -> None:
+    def handle_arrival(self, job: simulation.Job) -> None:
         """Queue a request at its router."""
         self._queues[job.router].push(job)
-        self._fill(job.router, job.key[0])
+        self._fill_slots(job.router, job.key[0])
 
-    def end(self, job: world.Job) -> None:
+    def handle_end(self, job: simulation.Job) -> None:
         """Free a slot of the router's share."""
         self._held[job.router][job.server] -= 1
         self._queues[job.router].finish(job)
-        self._fill(job.router, job.key[0])
+        self._fill_slots(job.router, job.key[0])
 
-    def drop(self, job: world.Job) -> None:
+    def handle_refusal(self, job: simulation.Job) -> None:
         """Take out a request that was refused."""
         self._queues[job.router].remove(job)
 
-    def change(self) -> None:
+    def handle_topology_change(self) -> None:
         """Fill all shares again."""
-        for router in range(self._world.trace.routers):
-            for service in self._world.services:
-                self._fill(router, service)
+        for router in range(self._simulator.trace.routers):
+            for service in self._simulator.services:
+                self._fill_slots(router, service)
 
-    def lose(self, router: int) -> None:
+    def handle_restart(self, router: int) -> None:
         """Start a router anew."""
-        self._queues[router] = FairQueue(self._world)
+        self._queues[router] = FairQueue(self._simulator)
         self._held[router] = collections.Counter()
 
-    def _split(self, router: int) -> dict[str, int]:
+    def _split_windows(self, router: int) -> dict[str, int]:
         shares = {}
-        routers = self._world.trace.routers
-        for place, entry in enumerate(self._world.servers.values()):
+        routers = self._simulator.trace.routers
+        for place, entry in enumerate(self._simulator.servers.values()):
             base, rest = divmod(entry.spec.slots, routers)
             shares[entry.spec.id] = base + ((router - place) % routers < rest)
         return shares
 
-    def _fill(self, router: int, service: str) -> None:
-        while self._world.alive[router]:
-            server = self._pick(router, service)
+    def _fill_slots(self, router: int, service: str) -> None:
+        while self._simulator.alive[router]:
+            server = self._pick_server(router, service)
             job = self._queues[router].pop(service) if server else None
             if server is None or job is None:
                 return
             self._held[router][server] += 1
-            self._world.start(job, server)
+            self._simulator.start_request(job, server)
 
-    def _pick(self, router: int, service: str) -> str | None:
+    def _pick_server(self, router: int, service: str) -> str | None:
         free = {
             item.spec.id: self._shares[router][item.spec.id]
             - self._held[router][item.spec.id]
-            for item in self._world.servers.values()
+            for item in self._simulator.servers.values()
             if item.spec.service == service and not item.leaving
         }
         best = max(free, key=lambda item: free[item], default=None)
@@ -352,24 +366,24 @@
 
 
 @register("leased")
-class Leased(Alone):
+class LeasedShares(IsolatedRouters):
     """Shares of windows follow the routers' demand, once a second."""
 
-    def __init__(self, owner: world.World) -> None:
-        super().__init__(owner)
-        owner.after(LEASE_SECONDS, self._balance)
+    def __init__(self, simulator: simulation.Simulator) -> None:
+        super().__init__(simulator)
+        simulator.schedule_after(REBALANCE_SECONDS, self._rebalance)
 
-    def _balance(self) -> None:
-        for service in self._world.services:
+    def _rebalance(self) -> None:
+        for service in self._simulator.services:
             demand = [queue.count(service) for queue in self._queues]
-            self._lease(service, demand)
-        self.change()
-        self._world.after(LEASE_SECONDS, self._balance)
+            self._assign_shares(service, demand)
+        self.handle_topology_change()
+        self._simulator.schedule_after(REBALANCE_SECONDS, self._rebalance)
 
-    def _lease(self, service: str, demand: list[int]) -> None:
+    def _assign_shares(self, service: str, demand: list[int]) -> None:
         total = sum(demand)
         routers = range(len(demand))
-        for entry in self._world.servers.values():
+        for entry in self._simulator.servers.values():
             if entry.spec.service != service or not total:
                 continue
             slots = entry.spec.slots
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -12,7 +12,7 @@
 import sys
 from typing import Any
 
-from bench import bounds, homes_policy, policies, traces, world
+from bench import bounds, homes_policy, policies, simulation, traces
 
 KEYS = (
     "answered",
@@ -34,10 +34,10 @@
 
 def replay(trace: traces.Trace, policy: str, seed: int) -> dict[str, Any]:
     """Replay a trace under a policy and return the figures."""
-    owner = world.World(trace, seed)
-    owner.run(policies.POLICIES[policy](owner))
-    found = owner.measures.report()
-    found["gap_bound"] = round(bounds.find_bound(owner), 3)
+    simulator = simulation.Simulator(trace, seed)
+    simulator.run(policies.POLICIES[policy](simulator))
+    found = simulator.measures.report()
+    found["gap_bound"] = round(bounds.find_bound(simulator), 3)
     return {"policy": policy, **{key: found[key] for key in KEYS}}
 
 
@@ -46,7 +46,7 @@
     parser = argparse.ArgumentParser(prog="bench.replay", description=__doc__)
     parser.add_argument("trace", type=pathlib.Path)
     names = policies.POLICIES
-    parser.add_argument("--policy", default=homes_policy.NAME, choices=names)
+    parser.add_argument("--policy", default=homes_policy.POLICY_NAME, choices=names)
     parser.add_argument("--seed", type=int, default=0)
     options = parser.parse_args(arguments)
     found = replay(traces.read(options.trace), options.policy, options.seed)
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -13,16 +13,16 @@
 SIZE_EXPONENT = 1.1
 
 # Hints are off by up to this factor in either direction, evenly in the logarithm.
-HINT_FACTOR = 3.0
+MAX_HINT_FACTOR = 3.0
 
 # Of ten requests one comes without a hint.
-HINT_MISSING = 0.1
+MISSING_HINT_SHARE = 0.1
 
 # Deviation of the logarithm of costs: one request in a hundred is ten times the mean.
-COST_SIGMA = 1.2
+COST_LOG_DEVIATION = 1.2
 
-MEAN_COST = 420.0
-GREATEST_COST = 6000.0
+MEAN_COST_UNITS = 420.0
+MAX_COST_UNITS = 6000.0
 
 # Callers of planners and gangs wait this long, in seconds.
 DEADLINE_SECONDS = 60.0
@@ -130,21 +130,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Case:
+class Workload:
     """What a generated trace is like.
 
     Attributes
     ----------
     load : float
         Offered work over capacity.
-    floods : float
+    flood_load : float
         Offered work of the first account alone, over capacity, on top.
-    lone : bool
+    on_one_router : bool
         Whether the first account sits on one router and sends as much as the others
         send together.
-    long : bool
+    long_requests : bool
         Whether the second account sends only requests of the greatest cost.
-    even : bool
+    equal_accounts : bool
         Whether all accounts send alike.
     burst : bool
         Whether all work of ten seconds comes in the first one.
@@ -152,27 +152,29 @@
 
     load: float = 2.0
     seconds: float = 120.0
-    floods: float = 0.0
-    lone: bool = False
-    long: bool = False
-    even: bool = False
+    flood_load: float = 0.0
+    on_one_router: bool = False
+    long_requests: bool = False
+    equal_accounts: bool = False
     burst: bool = False
     faults: tuple[Fault, ...] = ()
     routers: int = 6
     accounts: int = 16
 
 
-def generate(firm: Firm, case: Case, seed: int) -> Trace:
+def generate(firm: Firm, workload: Workload, seed: int) -> Trace:
     """Return a trace of a firm; the same arguments give the same trace."""
     generator = np.random.default_rng(seed)
-    names = [f"account-{index:02}" for index in range(case.accounts)]
+    names = [f"account-{index:02}" for index in range(workload.accounts)]
     requests: list[Request] = []
     for service, count, slots, rate in firm.services:
         capacity = count * slots * rate
-        for index in range(case.accounts):
-            work = capacity * _share(case, index) * case.seconds
-            spread = _spread(generator, case, index)
-            requests += _requests(generator, case, names[index], service, work, spread)
+        for index in range(workload.accounts):
+            work = capacity * _load_share(workload, index) * workload.seconds
+            router_shares = _router_shares(generator, workload, index)
+            requests += _generate_requests(
+                generator, workload, names[index], service, work, router_shares
+            )
     requests.sort(key=lambda item: (item.at, item.account, item.service))
     servers = tuple(
         Server(f"{service}-{index}", service, slots, rate)
@@ -181,55 +183,59 @@
     )
     weights = dict.fromkeys(names, 1.0)
     return Trace(
-        case.routers,
+        workload.routers,
         firm.link_seconds,
         servers,
         weights,
-        case.faults,
+        workload.faults,
         tuple(requests),
     )
 
 
-def _share(case: Case, index: int) -> float:
+def _load_share(workload: Workload, index: int) -> float:
     sizes = [
-        1.0 if case.even else (1 + item) ** -SIZE_EXPONENT
-        for item in range(case.accounts)
+        1.0 if workload.equal_accounts else (1 + item) ** -SIZE_EXPONENT
+        for item in range(workload.accounts)
     ]
-    if case.lone:
+    if workload.on_one_router:
         sizes[0] = sum(sizes[1:])
-    share = case.load * sizes[index] / sum(sizes)
-    return share + (case.floods if index == 0 else 0.0)
+    share = workload.load * sizes[index] / sum(sizes)
+    return share + (workload.flood_load if index == 0 else 0.0)
 
 
-def _spread(generator: np.random.Generator, case: Case, index: int) -> np.ndarray:
-    if case.lone and index == 0:
-        return np.eye(case.routers)[0]
-    if case.floods and index == 0:
-        return np.full(case.routers, 1.0 / case.routers)
-    return generator.dirichlet(np.full(case.routers, 0.5))
+def _router_shares(
+    generator: np.random.Generator, workload: Workload, index: int
+) -> np.ndarray:
+    if workload.on_one_router and index == 0:
+        return np.eye(workload.routers)[0]
+    if workload.flood_load and index == 0:
+        return np.full(workload.routers, 1.0 / workload.routers)
+    return generator.dirichlet(np.full(workload.routers, 0.5))
 
 
-def _requests(
+def _generate_requests(
     generator: np.random.Generator,
-    case: Case,
+    workload: Workload,
     account: str,
     service: str,
     work: float,
-    spread: np.ndarray,
+    router_shares: np.ndarray,
 ) -> list[Request]:
-    is_long = case.long and account.endswith("01")
-    mean = GREATEST_COST if is_long else MEAN_COST
+    is_long = workload.long_requests and account.endswith("01")
+    mean = MAX_COST_UNITS if is_long else MEAN_COST_UNITS
     count = generator.poisson(work / mean)
-    times = np.sort(generator.uniform(0.0, case.seconds, count))
-    if case.burst:
+    times = np.sort(generator.uniform(0.0, workload.seconds, count))
+    if workload.burst:
         times = np.floor(times / 10.0) * 10.0 + (times % 10.0) / 10.0
     costs = generator.lognormal(
-        np.log(mean) - COST_SIGMA**2 / 2, 0.0 if is_long else COST_SIGMA, count
-    ).clip(1.0, GREATEST_COST)
-    costs = np.full(count, GREATEST_COST) if is_long else costs
-    factors = HINT_FACTOR ** generator.uniform(-1.0, 1.0, count)
-    missing = generator.random(count) < HINT_MISSING
-    routers = generator.choice(case.routers, count, p=spread)
+        np.log(mean) - COST_LOG_DEVIATION**2 / 2,
+        0.0 if is_long else COST_LOG_DEVIATION,
+        count,
+    ).clip(1.0, MAX_COST_UNITS)
+    costs = np.full(count, MAX_COST_UNITS) if is_long else costs
+    factors = MAX_HINT_FACTOR ** generator.uniform(-1.0, 1.0, count)
+    missing = generator.random(count) < MISSING_HINT_SHARE
+    routers = generator.choice(workload.routers, count, p=router_shares)
     idempotent = generator.random(count) < 0.5
     return [
         Request(
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -20,25 +20,25 @@
 RESTART = (traces.Fault(8.0, "restart", (0,)),)
 
 CASES = {
-    "burst": traces.Case(load=0.9, seconds=SECONDS, burst=True, routers=3),
-    "hot-caller": traces.Case(load=0.6, floods=2.0, seconds=SECONDS, routers=3),
-    "twice": traces.Case(load=2.0, seconds=SECONDS, routers=3),
-    "ten-times": traces.Case(load=10.0, seconds=8.0, routers=3),
-    "one-router": traces.Case(lone=True, seconds=60.0, routers=6),
-    "long-jobs": traces.Case(long=True, seconds=SECONDS, routers=3),
-    "cut": traces.Case(seconds=SECONDS, routers=3, faults=CUT),
-    "restart": traces.Case(seconds=SECONDS, routers=3, faults=RESTART),
-    "restart-all": traces.Case(
+    "burst": traces.Workload(load=0.9, seconds=SECONDS, burst=True, routers=3),
+    "hot-caller": traces.Workload(load=0.6, flood_load=2.0, seconds=SECONDS, routers=3),
+    "twice": traces.Workload(load=2.0, seconds=SECONDS, routers=3),
+    "ten-times": traces.Workload(load=10.0, seconds=8.0, routers=3),
+    "one-router": traces.Workload(on_one_router=True, seconds=60.0, routers=6),
+    "long-jobs": traces.Workload(long_requests=True, seconds=SECONDS, routers=3),
+    "cut": traces.Workload(seconds=SECONDS, routers=3, faults=CUT),
+    "restart": traces.Workload(seconds=SECONDS, routers=3, faults=RESTART),
+    "restart-all": traces.Workload(
         seconds=SECONDS,
         routers=3,
         faults=(traces.Fault(8.0, "restart", (0, 1, 2)),),
     ),
-    "leave": traces.Case(
+    "leave": traces.Workload(
         seconds=SECONDS,
         routers=3,
         faults=(traces.Fault(8.0, "leave", server="planner-llm-0"),),
     ),
-    "slow": traces.Case(
+    "slow": traces.Workload(
         seconds=SECONDS,
         routers=3,
         faults=(traces.Fault(8.0, "slow", server="planner-llm-0", factor=0.2),),
