--- a/bench/exchange_bench.py
+++ b/bench/exchange_bench.py
@@ -1,7 +1,7 @@
-"""Counter exchange by fixed period against by unreported units, gap against traffic.
+"""Compares counter exchange by fixed period with exchange by unreported units.
 
-``make bench NAME=exchange_bench`` prints the table and writes the plot into
-``docs/img``.
+``make bench NAME=exchange_bench`` prints the fairness gap and control traffic of each
+rule, and writes a plot to ``docs/img``.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     "even": traces.Workload(seconds=90.0, equal_accounts=True),
 }
 
-VALUES = {
+RULE_VALUES = {
     "units": (50.0, 200.0, 500.0, 1000.0, 2000.0, 5000.0),
     "period": (0.05, 0.1, 0.2, 0.5, 1.0, 2.0),
 }
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial:
-    """One replay of the comparison."""
+    """Parameters of one replay."""
 
     rule: str
     value: float
@@ -47,45 +47,45 @@
 
 
 def measure(trial: Trial) -> tuple[float, float]:
-    """Return the gap, and control bytes per router and second."""
+    """Return the fairness gap, and control bytes per router and second."""
     firm, case = traces.FIRMS[trial.firm], CASES[trial.case]
     simulator = simulation.Simulator(
         traces.generate(firm, case, trial.seed), trial.seed
     )
 
     class Policy(homes_policy.CeleryspanPolicy):
-        """The fleet under the rule of this trial."""
+        """The fleet with the exchange rule of this trial."""
 
         def make_rule(self) -> reporting.Rule:
             return reporting.RULES[trial.rule](trial.value)
 
     simulator.run(Policy(simulator))
-    found = simulator.measures.report()
-    return found["gap_max"], found["control_bytes_per_router_second"]
+    result = simulator.measures.report()
+    return result["gap_max"], result["control_bytes_per_router_second"]
 
 
 def run(arguments: list[str]) -> int:
-    """Print the table and write the plot."""
+    """Replay all trials, print the table and write the plot."""
     parser = argparse.ArgumentParser(prog="bench exchange_bench", description=__doc__)
     parser.add_argument("--seeds", type=int, default=SEEDS)
     options = parser.parse_args(arguments)
     trials = [
         Trial(rule, value, firm, case, seed)
-        for rule, values in VALUES.items()
+        for rule, values in RULE_VALUES.items()
         for value in values
         for firm in traces.FIRMS
         for case in CASES
         for seed in range(1, options.seeds + 1)
     ]
     with concurrent.futures.ProcessPoolExecutor(PROCESSES) as pool:
-        found = dict(zip(trials, pool.map(measure, trials), strict=True))
+        results = dict(zip(trials, pool.map(measure, trials), strict=True))
     print("| rule | value | gap | bytes per router and second |\n|---|---|---|---|")
     curves: dict[str, list[tuple[float, float]]] = {}
-    for rule, values in VALUES.items():
+    for rule, values in RULE_VALUES.items():
         for value in values:
             rows = [
                 row
-                for trial, row in found.items()
+                for trial, row in results.items()
                 if (trial.rule, trial.value) == (rule, value)
             ]
             gap, size = np.mean(rows, axis=0)
@@ -102,7 +102,7 @@
     for rule, points in curves.items():
         sizes, gaps = zip(*points, strict=True)
         axis.plot(sizes, gaps, marker="o", label=rule)
-        for value, size, gap in zip(VALUES[rule], sizes, gaps, strict=True):
+        for value, size, gap in zip(RULE_VALUES[rule], sizes, gaps, strict=True):
             axis.annotate(f"{value:g}", (size, gap), fontsize=7)
     axis.set_xscale("log")
     axis.set_xlabel("control bytes per router and second")
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,6 +1,6 @@
-"""Both firms' traces under all policies: ``make bench NAME=fairness``.
+"""Compares all policies on the traces of both firms (``make bench NAME=fairness``).
 
-Prints one table for each case, means over the seeds, and writes the plots into
+Prints one table per case with means over the seeds, and writes a plot to
 ``docs/img``.
 """
 
@@ -22,7 +22,7 @@
 
 IMAGES = pathlib.Path(__file__).parent.parent / "docs" / "img"
 
-# The policies of the table; the other charging rules of the oracle come with --rules.
+# Policies compared by default; --rules compares the charging rules of the oracle.
 POLICIES = ("celeryspan", "oracle", "alone", "leased", "fifo")
 
 SEEDS = 5
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial:
-    """One replay of the comparison."""
+    """Parameters of one replay."""
 
     firm: str
     case: str
@@ -74,15 +74,15 @@
     """Replay one trace under one policy."""
     firm, case = traces.FIRMS[trial.firm], CASES[trial.case]
     trace = traces.generate(firm, case, trial.seed)
-    found = replay.replay(trace, trial.policy, trial.seed)
-    accounts = found.pop("per_account")
-    half = sorted(accounts)[len(accounts) // 2 :]
-    found["light_p99"] = max(accounts[name]["wait_p99"] for name in half)
-    return found
+    result = replay.replay(trace, trial.policy, trial.seed)
+    accounts = result.pop("per_account")
+    light_accounts = sorted(accounts)[len(accounts) // 2 :]
+    result["light_p99"] = max(accounts[name]["wait_p99"] for name in light_accounts)
+    return result
 
 
 def run(arguments: list[str]) -> int:
-    """Print the tables and write the plot."""
+    """Replay all trials, print the tables and write the plot."""
     parser = argparse.ArgumentParser(prog="bench fairness", description=__doc__)
     parser.add_argument("--cases", nargs="*", default=list(CASES), choices=CASES)
     parser.add_argument("--seeds", type=int, default=SEEDS)
@@ -100,13 +100,13 @@
         for seed in range(1, options.seeds + 1)
     ]
     with concurrent.futures.ProcessPoolExecutor(PROCESSES) as pool:
-        found = list(pool.map(measure, trials))
+        results = list(pool.map(measure, trials))
     for firm in traces.FIRMS:
         for case in options.cases:
             for policy in names:
                 rows = [
                     row
-                    for trial, row in zip(trials, found, strict=True)
+                    for trial, row in zip(trials, results, strict=True)
                     if (trial.firm, trial.case, trial.policy) == (firm, case, policy)
                 ]
                 means[firm, case, policy] = {
@@ -135,10 +135,10 @@
     figure, axes = plt.subplots(1, len(traces.FIRMS), figsize=(11, 4), sharey=True)
     width = 0.8 / len(names)
     for axis, firm in zip(axes, traces.FIRMS, strict=True):
-        for place, policy in enumerate(names):
+        for index, policy in enumerate(names):
             heights = [means[firm, case, policy]["gap_max"] for case in cases]
-            spots = np.arange(len(cases)) + place * width
-            axis.bar(spots, heights, width, label=policy)
+            positions = np.arange(len(cases)) + index * width
+            axis.bar(positions, heights, width, label=policy)
         axis.set_yscale("log")
         axis.set_title(firm)
         axis.set_xticks(np.arange(len(cases)) + 0.4, cases, rotation=40, ha="right")
--- a/bench/homes_policy.py
+++ b/bench/homes_policy.py
@@ -1,4 +1,7 @@
-"""The policy ``celeryspan``: a fleet of routers with homes over the virtual clock."""
+"""The policy ``celeryspan``: a fleet of routers on the virtual clock.
+
+The home of a server is the router that grants its slots.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,13 @@
 
 POLICY_NAME = "celeryspan"
 
-# Seconds until a dead incarnation's counters are folded.
+# Seconds until the counters of a dead incarnation are folded.
 FOLD_AFTER_SECONDS = 60.0
 
 
 @policies.register(POLICY_NAME)
 class CeleryspanPolicy:
-    """The fleet: one node for each router."""
+    """A fleet with one `node.Node` per router."""
 
     rule = "units"
     ledger_options: dict[str, float] = {}
@@ -41,42 +44,42 @@
         simulator.schedule(simulation.LOAD_REPORT_SECONDS, self.handle_load_reports)
 
     def make_rule(self) -> reporting.Rule:
-        """Return the rule of exchange."""
+        """Return the rule that decides when counters are exchanged."""
         return reporting.RULES[self.rule]()
 
     def handle_arrival(self, job: simulation.Job) -> None:
-        """Queue a request at its router."""
+        """Pass a request to its router."""
         self.nodes[job.router].handle_arrival(job)
 
     def handle_end(self, job: simulation.Job) -> None:
-        """Tell the request's router that it ended."""
+        """Notify the request's router of its end."""
         self.nodes[job.router].handle_end(job)
 
     def handle_refusal(self, job: simulation.Job) -> None:
-        """Tell the request's router that it was refused."""
+        """Notify the request's router of its refusal."""
         self.nodes[job.router].handle_refusal(job)
 
     def handle_topology_change(self) -> None:
-        """Let all routers look at the membership."""
+        """Update the membership view of all running routers."""
         for node in self.nodes:
             if self.simulator.alive[node.index]:
                 node.update_view()
                 node.start()
 
     def handle_restart(self, router: int) -> None:
-        """Start a router anew, without state."""
+        """Replace a router by a new node without state."""
         old = self.nodes[router]
         node = nodes.Node(self, router)
         self.nodes[router] = node
         self.simulator.schedule_after(FOLD_AFTER_SECONDS, self.fold_counters, old)
 
     def fold_counters(self, old: nodes.Node) -> None:
-        """Fold the counters of an incarnation that is gone."""
+        """Fold the counters of a dead incarnation on all nodes."""
         for node in self.nodes:
             node.counters.fold(old.name, old.incarnation)
 
     def handle_load_reports(self) -> None:
-        """Let homes read the load reports."""
+        """Deliver the load reports to all running routers."""
         for node in self.nodes:
             if self.simulator.alive[node.index]:
                 node.handle_load_reports()
@@ -85,5 +88,5 @@
         )
 
     def deliver(self, target: int, call: Callable, sender: int, item: object) -> None:
-        """Hand a message to a node."""
+        """Call a message handler of the target node."""
         call(self.nodes[target], sender, item)
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""What callers and operators receive from a replay."""
+"""Fairness, utilisation and waiting-time measurements of a replay."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from bench import simulation
 
-Key = tuple[str, str]
+QueueKey = tuple[str, str]
 
 
 class ReplayMeasures:
-    """Counts while the replay runs; service counts as it streams."""
+    """Accumulates measurements during a replay; service is counted as it streams."""
 
     def __init__(self, simulator: simulation.Simulator) -> None:
         self._simulator = simulator
@@ -25,54 +25,54 @@
         self.recomputed_units = 0.0
         self._max_gap = 0.0
         self.gap_samples: list[tuple[float, float]] = []
-        self._waiting: dict[Key, int] = {}
+        self._waiting: dict[QueueKey, int] = {}
         self._service_waiting = dict.fromkeys(simulator.services, 0)
-        self._emptied_keys: set[Key] = set()
-        self._settled: dict[Key, float] = {}
-        self._ranges: dict[tuple[Key, Key], tuple[float, float]] = {}
+        self._emptied_keys: set[QueueKey] = set()
+        self._settled: dict[QueueKey, float] = {}
+        self._ranges: dict[tuple[QueueKey, QueueKey], tuple[float, float]] = {}
         self._waits: dict[str, list[float]] = {
             name: [] for name in simulator.trace.accounts
         }
         self._accumulated_at = 0.0
         self._busy_seconds = 0.0
         self._idle_seconds = 0.0
-        self.held: dict[Key, int] = {}
-        self.peak_held: dict[Key, int] = {}
+        self.held: dict[QueueKey, int] = {}
+        self.peak_held: dict[QueueKey, int] = {}
 
     def record_arrival(self, job: simulation.Job) -> None:
-        """Count a request that begins to wait."""
+        """Record that a request has arrived and waits for a slot."""
         self.open_requests += 1
         self._change_waiting(job.key, 1)
 
     def record_start(self, job: simulation.Job) -> None:
-        """Count a request that stops waiting for a slot."""
+        """Record that a request has been sent to a server."""
         self._change_waiting(job.key, -1)
         if job.runs == 1:
             self._record_wait(job)
         self.held[job.key] = self.held.get(job.key, 0) + 1
-        most = self.peak_held.get(job.key, 0)
-        self.peak_held[job.key] = max(most, self.held[job.key])
+        peak = self.peak_held.get(job.key, 0)
+        self.peak_held[job.key] = max(peak, self.held[job.key])
 
     def record_stop(self, job: simulation.Job, streamed: float) -> None:
-        """Count what a request has received at its end."""
+        """Record the units that a request had streamed when it stopped running."""
         units = streamed - job.settled_units
         job.settled_units = streamed
         self._settled[job.key] = self._settled.get(job.key, 0.0) + units
         self.held[job.key] -= 1
 
     def record_settled(self, job: simulation.Job) -> None:
-        """Count the final answer of a request."""
+        """Record the final outcome of a request."""
         self.open_requests -= 1
         if job.state is not states.RequestState.SENT:
             self._change_waiting(job.key, -1)
             self._record_wait(job)
 
     def record_suspension(self, job: simulation.Job) -> None:
-        """Count a request whose stream was cancelled, to be resumed."""
+        """Record that a request waits again because its stream was cancelled."""
         self._change_waiting(job.key, 1)
 
     def accumulate_slot_time(self) -> None:
-        """Add up busy and idle slot time since the last change."""
+        """Accumulate busy and idle slot time since the last event."""
         elapsed, self._accumulated_at = (
             self._simulator.now - self._accumulated_at,
             self._simulator.now,
@@ -94,7 +94,11 @@
             self._idle_seconds += min(free, waiting) * elapsed
 
     def sample_gap(self) -> None:
-        """Compare the service of all pairs that waited since the last sample."""
+        """Update the service gap of each pair of accounts that is waiting.
+
+        A pair's range starts anew when either queue has been empty since the last
+        sample, because the gap is bounded only while both accounts are backlogged.
+        """
         for service in self._simulator.services:
             received = self._sum_service(service)
             waiting = [
@@ -104,16 +108,16 @@
             ]
             for first, second in itertools.combinations(waiting, 2):
                 self._update_range(first, second, received[first] - received[second])
-            kept = set(itertools.combinations(waiting, 2))
+            compared = set(itertools.combinations(waiting, 2))
             for pair in [item for item in self._ranges if item[0][0] == service]:
-                if pair not in kept:
+                if pair not in compared:
                     del self._ranges[pair]
         self._emptied_keys.clear()
         self.gap_samples.append((self._simulator.now, self._widest_range()))
 
     def report(self) -> dict[str, Any]:
-        """Return the figures of the whole replay."""
-        waits = [item for found in self._waits.values() for item in found]
+        """Return the results of the whole replay."""
+        waits = [wait for waits in self._waits.values() for wait in waits]
         seconds = max(self._simulator.now, 1e-9)
         routers = self._simulator.trace.routers
         jobs = self._simulator.jobs
@@ -156,7 +160,7 @@
             "wait_p99": _percentile(self._waits[account], 99),
         }
 
-    def _sum_service(self, service: str) -> dict[Key, float]:
+    def _sum_service(self, service: str) -> dict[QueueKey, float]:
         weights = self._simulator.trace.accounts
         units = {
             (service, account): self._settled.get((service, account), 0.0)
@@ -169,7 +173,9 @@
                     units[job.key] += entry.streamed_units(job) - job.settled_units
         return {key: value / weights[key[1]] for key, value in units.items()}
 
-    def _update_range(self, first: Key, second: Key, difference: float) -> None:
+    def _update_range(
+        self, first: QueueKey, second: QueueKey, difference: float
+    ) -> None:
         pair = (first, second)
         if first in self._emptied_keys or second in self._emptied_keys:
             self._ranges.pop(pair, None)
@@ -181,7 +187,7 @@
     def _widest_range(self) -> float:
         return max((high - low for low, high in self._ranges.values()), default=0.0)
 
-    def _change_waiting(self, key: Key, change: int) -> None:
+    def _change_waiting(self, key: QueueKey, change: int) -> None:
         self._waiting[key] = self._waiting.get(key, 0) + change
         self._service_waiting[key[0]] += change
         if not self._waiting[key]:
--- a/bench/node.py
+++ b/bench/node.py
@@ -1,7 +1,7 @@
-"""One router of the policy ``celeryspan``: the daemon's decisions, replayed.
+"""One router of the policy ``celeryspan`` in a replay.
 
-Only the passing of messages is written here; each choice is made by the modules of
-``celeryspan.decisions``.
+This module only passes messages; every decision is made by the modules of
+``celeryspan.decisions`` that the daemon uses.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
     from bench import homes_policy
 
-# Bytes of a message and of the frame around one or several. The codec takes 73 to 93
-# bytes for a frame of one message, and 25 to 38 for each further one.
+# Approximate size of a message and of the frame around one or more messages. The codec
+# uses 73 to 93 bytes for a frame of one message, and 25 to 38 for each further one.
 BYTES_PER_MESSAGE = 40
 BYTES_PER_FRAME = 40
 
-# Seconds between two looks at what must be told. At 100 ms the homes of a service of
-# short requests grant several slots before they hear of each other.
+# Seconds between counter exchanges. At 100 ms, the homes of a service with short
+# requests grant several slots before they learn of each other's grants.
 TICK_SECONDS = 0.02
 
-# Seconds in which changes of demand are put into one frame.
+# Seconds for which urgent demand changes are collected into one report.
 URGENT_BATCH_SECONDS = 0.001
 
-Key = tuple[str, str]
-Shared = messages.Counter | messages.Lift | messages.Pending
+QueueKey = tuple[str, str]
+SharedItem = messages.Counter | messages.Lift | messages.Pending
 
 
 class Node:
-    """One router: its queues, its ledger and what it knows of the others."""
+    """One router: its queues, its grant ledger and its view of the fleet."""
 
     def __init__(self, fleet: homes_policy.CeleryspanPolicy, index: int) -> None:
         self.fleet = fleet
@@ -51,23 +51,23 @@
         self.ledger = grants.Ledger(
             self.name, self.incarnation, self.counters, **fleet.ledger_options
         )
-        self.exchange = reporting.CounterReporter(fleet.make_rule())
-        self.demands = reporting.DemandReporter()
+        self.counter_reporter = reporting.CounterReporter(fleet.make_rule())
+        self.demand_reporter = reporting.DemandReporter()
         self.estimator = sharing.CostEstimator()
-        self.queues: dict[Key, collections.deque[simulation.Job]] = {}
+        self.queues: dict[QueueKey, collections.deque[simulation.Job]] = {}
         self.running: dict[simulation.Job, messages.Grant] = {}
-        self.units: dict[Key, float] = {}
+        self.units: dict[QueueKey, float] = {}
         self.view: tuple[int, ...] = ()
         self.homes: dict[str, dict[str, int]] = {}
         self.leaving: set[str] = set()
         self.started = False
         self.sequence = 0
         self.rotation = 0
-        self.scheduled_reports: set[Key] = set()
+        self.scheduled_reports: set[QueueKey] = set()
         self.in_use: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begin to look for what must be told, each router at its own moment."""
+        """Start the periodic tick, at an offset that differs between routers."""
         if not self.started:
             self.started = True
             routers = self.simulator.trace.routers
@@ -76,59 +76,62 @@
             )
 
     def handle_arrival(self, job: simulation.Job) -> None:
-        """Queue a request and tell a home."""
+        """Queue a request and schedule a demand report."""
         self.queues.setdefault(job.key, collections.deque()).append(job)
         self.schedule_demand_report(job.key)
 
     def handle_refusal(self, job: simulation.Job) -> None:
-        """Take out a request that was refused."""
+        """Remove a request that was refused."""
         queue = self.queues.get(job.key, ())
         if job in queue:
             queue.remove(job)
             self.schedule_demand_report(job.key)
 
     def handle_end(self, job: simulation.Job) -> None:
-        """Give a slot back with the true cost of its request."""
+        """Release the slot of a request and report the actual cost."""
         grant = self.running.pop(job)
         self.record_streamed(job, job.request.cost)
         self.estimator.record_cost(*job.key, job.request.cost)
         self.release_slot(grant, job.request.cost)
 
     def record_streamed(self, job: simulation.Job, streamed: float) -> None:
-        """Count service that has streamed since the last look."""
+        """Count the service streamed since the last call."""
         units = streamed - job.reported_units
         job.reported_units = streamed
         self.counters.record_service(*job.key, units)
         self.units[job.key] = self.units.get(job.key, 0.0) + units
 
     def release_slot(self, grant: messages.Grant, cost: float) -> None:
-        """Tell the home that a slot is free."""
+        """Notify the home that a slot is free."""
         ended = messages.GrantEnded(grant.grant, grant.server, grant.account, cost)
         self.send_to_home(grant.server, Node.handle_ended, ended)
 
-    def schedule_demand_report(self, key: Key) -> None:
-        """Tell homes soon if one believes something false, else later."""
+    def schedule_demand_report(self, key: QueueKey) -> None:
+        """Schedule a demand report, sooner if the homes' information is wrong.
+
+        It is wrong if homes know of demand and nothing waits, or the other way round.
+        """
         if key in self.scheduled_reports:
             return
         waiting = len(self.queues[key])
-        informed_homes = self.demands.informed_homes(key)
+        informed_homes = self.demand_reporter.informed_homes(key)
         urgent = bool(informed_homes) != bool(waiting)
         self.scheduled_reports.add(key)
         seconds = URGENT_BATCH_SECONDS if urgent else reporting.DEMAND_BATCH_SECONDS
         self.simulator.schedule_after(seconds, self.send_demand_reports, key)
 
-    def send_demand_reports(self, key: Key) -> None:
-        """Tell the homes of a service how much of an account waits here."""
+    def send_demand_reports(self, key: QueueKey) -> None:
+        """Report the number of waiting requests of a queue to homes."""
         self.scheduled_reports.discard(key)
         if not self.is_current():
             return
         now, waiting = self.simulator.now, len(self.queues[key])
-        stage = self.demands.find_stage(key, waiting, now)
-        targets = dict.fromkeys(self.demands.informed_homes(key))
+        stage = self.demand_reporter.find_stage(key, waiting, now)
+        targets = dict.fromkeys(self.demand_reporter.informed_homes(key))
         targets.update(dict.fromkeys(self.pick_homes(key, stage)))
         for home in targets:
-            if self.demands.reported_waiting(key, home) != waiting:
-                self.demands.record_report(key, home, waiting)
+            if self.demand_reporter.reported_waiting(key, home) != waiting:
+                self.demand_reporter.record_report(key, home, waiting)
                 self.sequence += 1
                 self.send(int(home[7:]), Node.handle_demand, self.build_demand(key))
         if stage is reporting.Stage.ONE:
@@ -137,21 +140,27 @@
                 reporting.ESCALATE_SECONDS, self.send_demand_reports, key
             )
 
-    def pick_homes(self, key: Key, stage: reporting.Stage) -> Iterable[ids.RouterId]:
-        """Return the homes that hear of a queue."""
+    def pick_homes(
+        self, key: QueueKey, stage: reporting.Stage
+    ) -> Iterable[ids.RouterId]:
+        """Return the homes to report a queue to."""
         found = self.homes.get(key[0], {})
         names = {server: self.fleet.names[home] for server, home in found.items()}
         if stage is reporting.Stage.NONE or not names:
             return ()
         if stage is reporting.Stage.ALL:
-            attempt = self.demands.find_sample_number(key, self.simulator.now)
+            attempt = self.demand_reporter.find_sample_number(key, self.simulator.now)
             return homes.sample_homes(set(names.values()), self.name, key[0], attempt)
         self.rotation += 1
         first = homes.pick_first_home(names, self.name, key[0], self.rotation)
-        return () if self.demands.informed_homes(key) or first is None else (first,)
+        return (
+            ()
+            if self.demand_reporter.informed_homes(key) or first is None
+            else (first,)
+        )
 
-    def build_demand(self, key: Key) -> messages.Demand:
-        """Return the report of a queue."""
+    def build_demand(self, key: QueueKey) -> messages.Demand:
+        """Return the demand report of a queue."""
         queue = self.queues[key]
         age = self.simulator.now - queue[0].request.at if queue else 0.0
         hint = queue[0].request.hint if queue else None
@@ -160,36 +169,36 @@
         return messages.Demand(*key, len(queue), age, self.sequence, cost)
 
     def handle_demand(self, sender: int, demand: messages.Demand) -> None:
-        """Act as home: note a report."""
+        """As home: record a demand report."""
         self.ledger.update_demand(self.fleet.names[sender], demand, self.simulator.now)
         self.issue_grants()
 
     def handle_used(self, sender: int, used: messages.GrantUsed) -> None:
-        """Act as home: note that a request was sent."""
+        """As home: record that a grant was used."""
         self.ledger.mark_used(self.fleet.names[sender], used, self.simulator.now)
 
     def handle_ended(self, sender: int, ended: messages.GrantEnded) -> None:
-        """Act as home: note that a slot is free."""
+        """As home: record that a grant ended and its slot is free."""
         self.ledger.end_grant(self.fleet.names[sender], ended, self.simulator.now)
         self.issue_grants()
 
     def handle_held(self, sender: int, held: messages.SlotsHeld) -> None:
-        """Act as home: note which slots a router holds."""
+        """As home: record which slots a router holds."""
         self.ledger.set_held(self.fleet.names[sender], held, self.simulator.now)
         self.issue_grants()
 
     def handle_leaving(self, sender: int, server: str) -> None:
-        """Act as home: grant nothing more of a server."""
+        """As home: stop granting slots of a server that is leaving."""
         self.leaving.add(server)
         self.set_windows()
 
     def issue_grants(self) -> None:
-        """Act as home: grant what is free."""
+        """As home: grant free slots."""
         for issued in self.ledger.issue(self.simulator.now):
             self.send(int(issued.router[7:]), Node.handle_grant, issued.grant)
 
     def handle_grant(self, sender: int, grant: messages.Grant) -> None:
-        """Send the first request of the account, or give the grant back."""
+        """Send the account's next request, or return the grant if there is none."""
         key = (grant.service, grant.account)
         queue = self.queues.get(key)
         if not queue:
@@ -202,20 +211,22 @@
             return
         queue.popleft()
         self.running[job] = grant
-        self.demands.record_use(key, self.fleet.names[sender], self.simulator.now)
+        self.demand_reporter.record_use(
+            key, self.fleet.names[sender], self.simulator.now
+        )
         used = messages.GrantUsed(grant.grant, grant.server, grant.account, 0.0)
         self.send_to_home(grant.server, Node.handle_used, used)
         self.schedule_demand_report(key)
 
-    def return_unused_grant(self, key: Key, grant: messages.Grant) -> None:
-        """Return a grant unused; its home takes it that nothing waits here."""
+    def return_unused_grant(self, key: QueueKey, grant: messages.Grant) -> None:
+        """Return a grant unused; its home then assumes that nothing waits here."""
         home = self.homes[grant.service][grant.server]
-        self.demands.record_report(key, self.fleet.names[home], 0)
+        self.demand_reporter.record_report(key, self.fleet.names[home], 0)
         self.release_slot(grant, 0.0)
         self.schedule_demand_report(key)
 
     def tick(self) -> None:
-        """Tell the other homes what has changed."""
+        """Exchange changed counters, lifts and pending counts with the other homes."""
         if not self.is_current():
             return
         for job in self.running:
@@ -228,16 +239,16 @@
         self.simulator.schedule_after(TICK_SECONDS, self.tick)
 
     def find_due_counters(self) -> list[messages.Counter]:
-        """Return the counters that are due."""
-        due = self.exchange.find_due(self.units, None, self.simulator.now)
+        """Return the counters that are due to be sent."""
+        due = self.counter_reporter.find_due(self.units, None, self.simulator.now)
         return [
             messages.Counter(self.name, self.incarnation, *key, self.units[key])
             for key in due
         ]
 
-    def share_with_homes(self, items: list[Shared]) -> None:
-        """Send each item to the homes of its service, in one frame for each."""
-        frames: dict[int, list[Shared]] = {}
+    def share_with_homes(self, items: list[SharedItem]) -> None:
+        """Send each item to the homes of its service, in one frame per home."""
+        frames: dict[int, list[SharedItem]] = {}
         for item in items:
             for home in sorted(set(self.homes[item.service].values())):
                 if home != self.index:
@@ -245,8 +256,8 @@
         for home, frame in frames.items():
             self.send(home, Node.handle_shared, frame, count=len(frame))
 
-    def handle_shared(self, sender: int, frame: list[Shared]) -> None:
-        """Take in what another router tells of service."""
+    def handle_shared(self, sender: int, frame: list[SharedItem]) -> None:
+        """Merge counters, lifts and pending counts of another router."""
         for item in frame:
             if isinstance(item, messages.Counter):
                 self.counters.merge(item)
@@ -256,18 +267,18 @@
                 self.counters.merge_pending(self.fleet.names[sender], item)
 
     def handle_snapshot(self, sender: int, snapshot: sharing.Snapshot) -> None:
-        """Take in what a peer knows."""
+        """Load the counter snapshot of a peer."""
         self.counters.load_snapshot(snapshot)
 
     def update_view(self) -> None:
-        """Follow the membership: homes move, and routers that are gone are freed."""
+        """Update the membership view; reassign homes and forget departed routers."""
         routers = range(self.simulator.trace.routers)
         view = tuple(
             item for item in routers if self.simulator.can_reach(self.index, item)
         )
-        gone = [item for item in self.view if item not in view]
+        departed = [item for item in self.view if item not in view]
         self.view = view
-        for router in gone:
+        for router in departed:
             self.forget_router(router)
         self.move_homes()
         self.set_windows()
@@ -276,15 +287,15 @@
         self.issue_grants()
 
     def forget_router(self, router: int) -> None:
-        """Free what a router held that is out of reach."""
+        """Free the slots and pending counts of an unreachable router."""
         name = self.fleet.names[router]
         self.ledger.forget_router(name)
         self.counters.forget_pending(name)
-        self.demands.forget(name)
+        self.demand_reporter.forget(name)
 
     def send_snapshot(self, router: int, service: str) -> None:
-        """Tell a new home of a service what this one knows."""
-        self.exchange.forget(service)
+        """Send a snapshot to a new home if this is the first other home."""
+        self.counter_reporter.forget(service)
         peers = set(self.homes[service].values()) - {router}
         if self.index != min(peers, default=None):
             return
@@ -293,7 +304,7 @@
         self.send(router, Node.handle_snapshot, snapshot, count=count)
 
     def move_homes(self) -> None:
-        """Find the homes anew; take over and hand on."""
+        """Recompute the homes of all servers and move those that changed."""
         names = [self.fleet.names[item] for item in self.view]
         old = dict(item for found in self.homes.values() for item in found.items())
         for service in self.simulator.services:
@@ -309,7 +320,7 @@
         self.share_with_homes(self.ledger.list_pending())
 
     def move_home(self, server: str, service: str, old: int | None, new: int) -> None:
-        """Follow the move of one server's home."""
+        """Move the home of one server and report the slots held there."""
         if old == self.index:
             self.ledger.remove_server(server)
         if new == self.index:
@@ -323,7 +334,7 @@
         self.send(new, Node.handle_held, messages.SlotsHeld(server, held))
 
     def set_windows(self) -> None:
-        """Set the window of each server whose home this is."""
+        """Set the window of each server whose home is this router."""
         for server in self.ledger.servers():
             entry = self.simulator.servers[server]
             if server in self.leaving or (
@@ -342,7 +353,7 @@
             self.ledger.set_window(server, window)
 
     def handle_load_reports(self) -> None:
-        """Take in the load reports, which are one period old."""
+        """Apply the load reports, which are one interval old."""
         self.set_windows()
         self.in_use = {item: self.ledger.in_use(item) for item in self.ledger.servers()}
         self.issue_grants()
@@ -360,5 +371,5 @@
         self.send(self.homes[service][server], call, item)
 
     def is_current(self) -> bool:
-        """Return whether this incarnation still runs."""
+        """Return whether this incarnation is still running."""
         return self.fleet.nodes[self.index] is self and self.simulator.alive[self.index]
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""Policies that a trace can be replayed under, by name."""
+"""Registry of replay policies, and the policies for comparison."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 POLICIES: dict[str, Callable[[simulation.Simulator], simulation.Policy]] = {}
 
-# Typical cost of the services' register entries, in cost units.
+# Typical cost configured for each service in the register.
 TYPICAL_COST_UNITS = 420.0
 
-# Seconds between two rebalancings of leased shares.
+# Seconds between rebalancings of leased shares.
 REBALANCE_SECONDS = 1.0
 
 # Services whose streams can be cancelled and resumed.
 MODEL_SERVICES = ("lm-pool", "planner-llm")
 
-Key = tuple[str, str]
+QueueKey = tuple[str, str]
 
 
 def register(
     name: str,
 ) -> Callable[[Callable[[simulation.Simulator], simulation.Policy]], Callable]:
-    """Enter a policy under a name."""
+    """Register a policy under a name."""
 
-    def enter(maker: Callable[[simulation.Simulator], simulation.Policy]) -> Callable:
-        POLICIES[name] = maker
-        return maker
+    def add(factory: Callable[[simulation.Simulator], simulation.Policy]) -> Callable:
+        POLICIES[name] = factory
+        return factory
 
-    return enter
+    return add
 
 
 class FairQueue:
-    """Queues of accounts and one set of counters, in one place and without delay.
+    """Weighted fair queue over accounts, with counters that are updated without delay.
 
     Parameters
     ----------
     charging_rule : str
-        Name of the rule by which requests in progress count.
+        Name of the rule that charges an account for requests in progress.
     """
 
     def __init__(
@@ -54,27 +54,27 @@
         self._charging_rule = charging_rule
         self._estimator = sharing.CostEstimator()
         self._slot_charge = slotcharge.SlotCharge()
-        self._queues: dict[Key, collections.deque[simulation.Job]] = {}
-        self._running: dict[Key, dict[simulation.Job, float]] = {}
-        self._settled: dict[Key, float] = {}
-        self._suspended: dict[Key, float] = {}
-        self._lifts: dict[Key, float] = {}
+        self._queues: dict[QueueKey, collections.deque[simulation.Job]] = {}
+        self._running: dict[QueueKey, dict[simulation.Job, float]] = {}
+        self._settled: dict[QueueKey, float] = {}
+        self._suspended: dict[QueueKey, float] = {}
+        self._lifts: dict[QueueKey, float] = {}
         self._floors: dict[str, float] = {}
 
     def push(self, job: simulation.Job) -> None:
-        """Add a request; an account that becomes backlogged is lifted."""
+        """Add a request; lift the counter of an account that becomes backlogged."""
         queue = self._queues.setdefault(job.key, collections.deque())
         if not queue:
             self._lift(job.key)
         queue.append(job)
 
     def remove(self, job: simulation.Job) -> None:
-        """Take out a request that was refused."""
+        """Remove a request that was refused."""
         if job in self._queues.get(job.key, ()):
             self._queues[job.key].remove(job)
 
     def pop(self, service: str) -> simulation.Job | None:
-        """Return the next request of a service."""
+        """Remove and return the next request of a service."""
         keys = [key for key, queue in self._queues.items() if queue]
         keys = [key for key in keys if key[0] == service]
         if not keys:
@@ -92,7 +92,7 @@
         return job
 
     def finish(self, job: simulation.Job) -> None:
-        """Settle a request to its true cost."""
+        """Charge the actual cost of a request that has ended."""
         self._running[job.key].pop(job)
         cost = job.request.cost
         self._settled[job.key] = self._settled.get(job.key, 0.0) + cost
@@ -100,7 +100,7 @@
         self._slot_charge.record_cost(job.key[0], cost)
 
     def requeue(self, job: simulation.Job) -> None:
-        """Queue a request again whose stream was cancelled, before all others."""
+        """Put a request whose stream was cancelled back at the head of its queue."""
         self._running[job.key].pop(job)
         self._suspended[job.key] = self._suspended.get(job.key, 0.0) + job.resumed_from
         self._queues.setdefault(job.key, collections.deque()).appendleft(job)
@@ -108,7 +108,7 @@
     def describe(
         self, service: str
     ) -> tuple[dict[str, float], list[str], list[simulation.Job]]:
-        """Return the levels of all accounts, who waits, and what runs."""
+        """Return account levels, waiting accounts and running requests of a service."""
         keys = [key for key in self._queues if key[0] == service]
         levels = {key[1]: self._level(key) for key in keys}
         waiting = [key[1] for key in keys if self._queues[key]]
@@ -116,19 +116,19 @@
         return levels, waiting, running
 
     def forget(self, job: simulation.Job) -> None:
-        """Drop a request whose router lost its state."""
+        """Discard a request whose router lost its state."""
         self._running.get(job.key, {}).pop(job, None)
         self.remove(job)
 
     def count(self, service: str) -> int:
-        """Return how many requests of a service wait or run."""
-        found = 0
+        """Return the number of waiting and running requests of a service."""
+        total = 0
         for key, queue in self._queues.items():
             if key[0] == service:
-                found += len(queue) + len(self._running.get(key, ()))
-        return found
+                total += len(queue) + len(self._running.get(key, ()))
+        return total
 
-    def _level(self, key: Key) -> float:
+    def _level(self, key: QueueKey) -> float:
         weight = self._simulator.trace.accounts[key[1]]
         units = self._settled.get(key, 0.0) + self._suspended.get(key, 0.0)
         if self._charging_rule != "dispatch":
@@ -136,11 +136,11 @@
                 units += self._simulator.streamed_units(job)
         return units / weight + self._lifts.get(key, 0.0)
 
-    def _priority(self, key: Key) -> float:
+    def _priority(self, key: QueueKey) -> float:
         weight = self._simulator.trace.accounts[key[1]]
         return self._level(key) + self._pending_charge(key) / weight
 
-    def _pending_charge(self, key: Key) -> float:
+    def _pending_charge(self, key: QueueKey) -> float:
         running = self._running.get(key, {})
         if self._charging_rule == "slots":
             return self._slot_charge.per_slot(key[0]) * len(running)
@@ -161,19 +161,19 @@
         )
         return sum(max(0.0, value) for value in left)
 
-    def _lift(self, key: Key) -> None:
+    def _lift(self, key: QueueKey) -> None:
         others = [
             self._level(item)
             for item, queue in self._queues.items()
             if queue and item[0] == key[0]
         ]
-        least = min(others, default=self._floors.get(key[0], 0.0))
-        missing = max(0.0, least - self._level(key))
-        self._lifts[key] = self._lifts.get(key, 0.0) + missing
+        lowest = min(others, default=self._floors.get(key[0], 0.0))
+        lift = max(0.0, lowest - self._level(key))
+        self._lifts[key] = self._lifts.get(key, 0.0) + lift
 
 
 class CentralScheduler:
-    """One queue for the whole fleet that sees everything without delay."""
+    """A single queue for the whole fleet with up-to-date state."""
 
     charging_rule = "slots"
 
@@ -182,26 +182,26 @@
         self._queue = FairQueue(simulator, self.charging_rule)
 
     def handle_arrival(self, job: simulation.Job) -> None:
-        """Queue a request and fill free slots."""
+        """Queue a request and fill free slots of its service."""
         self._queue.push(job)
         self._fill_slots(job.key[0])
 
     def handle_end(self, job: simulation.Job) -> None:
-        """Settle a request and fill its slot."""
+        """Charge a request and refill its slot."""
         self._queue.finish(job)
         self._fill_slots(job.key[0])
 
     def handle_refusal(self, job: simulation.Job) -> None:
-        """Take out a request that was refused."""
+        """Remove a request that was refused."""
         self._queue.remove(job)
 
     def handle_topology_change(self) -> None:
-        """Fill slots: a server may have returned."""
+        """Fill free slots of all services."""
         for service in self._simulator.services:
             self._fill_slots(service)
 
     def handle_restart(self, router: int) -> None:
-        """Drop the requests of a router that lost its state."""
+        """Discard the requests of a router that lost its state."""
         for job in self._simulator.jobs:
             if job.router == router and job.outcome is not None:
                 self._queue.forget(job)
@@ -217,7 +217,7 @@
 
 
 def pick_server(simulator: simulation.Simulator, service: str) -> str | None:
-    """Return the server of a service with the greatest free part, or None."""
+    """Return the server of a service with the largest share of free slots, or None."""
     servers = [
         item
         for item in simulator.servers.values()
@@ -230,7 +230,7 @@
 
 @register("oracle")
 class Oracle(CentralScheduler):
-    """The limit: the best charging rule found, without any delay."""
+    """Upper bound: central scheduling with the best charging rule."""
 
 
 for _rule in ("streamed", "dispatch", "estimate", "left", "true", "true-left"):
@@ -240,9 +240,9 @@
 
 
 class PreemptiveOracle(CentralScheduler):
-    """The oracle that takes slots back from an account that is far ahead.
+    """An oracle that preempts streams of an account that is far ahead.
 
-    Only idempotent requests of the services whose name tells of a model are cancelled.
+    Only idempotent requests of ``MODEL_SERVICES`` are cancelled.
     """
 
     min_lead_units = 2000.0
@@ -285,15 +285,15 @@
 
 
 class ArrivalOrderQueue(FairQueue):
-    """All accounts in one line."""
+    """A queue that serves requests in order of arrival."""
 
-    def _priority(self, key: Key) -> float:
+    def _priority(self, key: QueueKey) -> float:
         return self._queues[key][0].request.at
 
 
 @register("fifo")
 class ArrivalOrder(CentralScheduler):
-    """One line for the whole fleet, in order of arrival."""
+    """A single first-in, first-out queue for the whole fleet."""
 
     def __init__(self, simulator: simulation.Simulator) -> None:
         super().__init__(simulator)
@@ -302,7 +302,7 @@
 
 @register("alone")
 class IsolatedRouters:
-    """Each router keeps an equal share of each window and counters of its own."""
+    """Routers without coordination: equal window shares and local counters."""
 
     def __init__(self, simulator: simulation.Simulator) -> None:
         self._simulator = simulator
@@ -312,37 +312,37 @@
         self._shares = [self._split_windows(router) for router in routers]
 
     def handle_arrival(self, job: simulation.Job) -> None:
-        """Queue a request at its router."""
+        """Queue a request at its router and fill the router's share."""
         self._queues[job.router].push(job)
         self._fill_slots(job.router, job.key[0])
 
     def handle_end(self, job: simulation.Job) -> None:
-        """Free a slot of the router's share."""
+        """Free a slot of the router's share and refill it."""
         self._held[job.router][job.server] -= 1
         self._queues[job.router].finish(job)
         self._fill_slots(job.router, job.key[0])
 
     def handle_refusal(self, job: simulation.Job) -> None:
-        """Take out a request that was refused."""
+        """Remove a request that was refused."""
         self._queues[job.router].remove(job)
 
     def handle_topology_change(self) -> None:
-        """Fill all shares again."""
+        """Fill the shares of all routers."""
         for router in range(self._simulator.trace.routers):
             for service in self._simulator.services:
                 self._fill_slots(router, service)
 
     def handle_restart(self, router: int) -> None:
-        """Start a router anew."""
+        """Reset a router to empty queues and counters."""
         self._queues[router] = FairQueue(self._simulator)
         self._held[router] = collections.Counter()
 
     def _split_windows(self, router: int) -> dict[str, int]:
         shares = {}
         routers = self._simulator.trace.routers
-        for place, entry in enumerate(self._simulator.servers.values()):
+        for index, entry in enumerate(self._simulator.servers.values()):
             base, rest = divmod(entry.spec.slots, routers)
-            shares[entry.spec.id] = base + ((router - place) % routers < rest)
+            shares[entry.spec.id] = base + ((router - index) % routers < rest)
         return shares
 
     def _fill_slots(self, router: int, service: str) -> None:
@@ -367,7 +367,7 @@
 
 @register("leased")
 class LeasedShares(IsolatedRouters):
-    """Shares of windows follow the routers' demand, once a second."""
+    """Window shares proportional to each router's demand, updated every second."""
 
     def __init__(self, simulator: simulation.Simulator) -> None:
         super().__init__(simulator)
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,7 +1,7 @@
-"""Replay of a recorded trace against the decision modules, over a virtual clock.
+"""Replay a recorded trace through the decision modules on a virtual clock.
 
-``python -m bench.replay TRACE.jsonl [--policy NAME] [--seed N]``; the last line is one
-JSON object with the figures. The same trace and seed give the same bytes.
+``python -m bench.replay TRACE.jsonl [--policy NAME] [--seed N]`` prints the results as
+one JSON object on the last line. The same trace and seed give the same bytes.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from bench import bounds, homes_policy, policies, simulation, traces
 
-KEYS = (
+RESULT_KEYS = (
     "answered",
     "not_run",
     "unknown",
@@ -29,28 +29,28 @@
     "wait_p99",
     "per_account",
 )
-"""Figures of the result, in this order."""
+"""Keys of the result, in output order."""
 
 
 def replay(trace: traces.Trace, policy: str, seed: int) -> dict[str, Any]:
-    """Replay a trace under a policy and return the figures."""
+    """Replay a trace under a policy and return the results."""
     simulator = simulation.Simulator(trace, seed)
     simulator.run(policies.POLICIES[policy](simulator))
-    found = simulator.measures.report()
-    found["gap_bound"] = round(bounds.find_bound(simulator), 3)
-    return {"policy": policy, **{key: found[key] for key in KEYS}}
+    result = simulator.measures.report()
+    result["gap_bound"] = round(bounds.find_bound(simulator), 3)
+    return {"policy": policy, **{key: result[key] for key in RESULT_KEYS}}
 
 
 def run(arguments: list[str]) -> int:
-    """Replay the trace that the command line names."""
+    """Replay the trace named on the command line."""
     parser = argparse.ArgumentParser(prog="bench.replay", description=__doc__)
     parser.add_argument("trace", type=pathlib.Path)
     names = policies.POLICIES
     parser.add_argument("--policy", default=homes_policy.POLICY_NAME, choices=names)
     parser.add_argument("--seed", type=int, default=0)
     options = parser.parse_args(arguments)
-    found = replay(traces.read(options.trace), options.policy, options.seed)
-    print(json.dumps(found))
+    result = replay(traces.read(options.trace), options.policy, options.seed)
+    print(json.dumps(result))
     return 0
 
 
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,7 +1,8 @@
-"""A virtual clock, backend servers, links and faults for the replay of traces.
+"""Discrete-event simulation of servers, links and faults on a virtual clock.
 
-Links deliver in order, as TCP does. A message is late by a seeded part of the link's
-delay, and one in a thousand by a retransmission; a cut link loses what is under way.
+Links deliver in order, as TCP does. Each message is delayed by the link's delay plus
+seeded jitter, and one in a thousand also by a retransmission. Messages in transit on a
+partitioned link are lost.
 """
 
 from __future__ import annotations
@@ -18,34 +19,48 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds until routers hold a silent one for dead, and until one that was restarted
-# serves again: three probes of 300 ms, and the start of a process.
+# Seconds until routers declare an unresponsive one dead (three probes of 300 ms), and
+# until a restarted router serves again (process start).
 FAILURE_DETECTION_SECONDS = 1.0
 RESTART_SECONDS = 2.0
 
-# Part of messages that TCP sends again, and the seconds this takes at least.
+# Share of messages that TCP retransmits, and the minimum delay that this adds.
 RETRANSMIT_PROBABILITY = 0.001
 RETRANSMIT_SECONDS = 0.2
 
-# Seconds between load reports of a server; a report is one period old when read.
+# Seconds between load reports of a server; a report is one interval old when read.
 LOAD_REPORT_SECONDS = 1.0
 
-# Seconds until routers know that a server is leaving.
+# Seconds until routers learn that a server is leaving.
 LEAVE_NOTICE_SECONDS = 0.2
 
 SAMPLE_SECONDS = 1.0
 
-# Seconds after the last request at which whoever still waits is refused, so that a
-# replay ends though every server of a service has left.
+# Seconds after the last request at which all waiting requests are refused, so that the
+# replay ends even if every server of a service has left.
 REFUSE_AFTER_SECONDS = 3600.0
 
-# Seconds until a caller who reaches no router tries again.
+# Seconds until a caller that reaches no router retries.
 RETRY_SECONDS = 0.5
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A request on its way through the replay."""
+    """The state of one request during the replay.
+
+    Attributes
+    ----------
+    progress_offset : float
+        Server progress at which the current run would have streamed nothing yet.
+    reported_units : float
+        Units of the current run that its router has already counted.
+    resumed_from : float
+        Units streamed before the last suspension.
+    settled_units : float
+        Units that the measurements have already counted.
+    recomputed_units : float
+        Units to compute again before a resumed stream goes on.
+    """
 
     request: traces.Request
     number: int
@@ -63,9 +78,9 @@
 
 
 class BackendServer:
-    """A server that streams all its requests at one speed.
+    """A server that streams all running requests at the same speed.
 
-    With more requests than slots the engine's speed is shared among them.
+    With more requests than slots, the requests share the speed of all slots.
     """
 
     def __init__(self, spec: traces.Server) -> None:
@@ -80,28 +95,28 @@
         self.version = 0
 
     def advance(self, now: float) -> None:
-        """Stream up to a time."""
-        busy = len(self.running)
-        share = min(1.0, self.spec.slots / busy) if busy else 0.0
+        """Advance the streams of all running requests to a time."""
+        running = len(self.running)
+        share = min(1.0, self.spec.slots / running) if running else 0.0
         self._progress += (
             self.spec.rate * self.factor * share * (now - self._advanced_at)
         )
         self._advanced_at = now
 
     def add(self, job: Job) -> None:
-        """Begin a request, or go on with one after computing a part again."""
+        """Start a request, or resume one after recomputing part of its stream."""
         job.progress_offset = self._progress - job.resumed_from + job.recomputed_units
         self.running[job] = None
 
     def streamed_units(self, job: Job) -> float:
-        """Return what a running request has received, in cost units."""
+        """Return the cost units that a running request has streamed."""
         return max(
             job.resumed_from,
             min(self._progress - job.progress_offset, job.request.cost),
         )
 
     def next_completion(self) -> tuple[float, Job] | None:
-        """Return the seconds until the next request ends, and the request."""
+        """Return the seconds until the next request completes, and the request."""
         if not self.running:
             return None
         job = min(
@@ -114,31 +129,31 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots that could take a request."""
+        """Number of slots that can accept a request."""
         return 0 if self.leaving else max(0, self.spec.slots - len(self.running))
 
 
 class Policy(Protocol):
-    """What decides, driven by the world."""
+    """A scheduling policy; the simulator calls it on each event."""
 
     def handle_arrival(self, job: Job) -> None:
-        """Take in a request that a caller has sent."""
+        """Handle a request that a caller has sent."""
 
     def handle_end(self, job: Job) -> None:
-        """Note that a request has ended and its slot is free."""
+        """Handle the end of a request, which frees its slot."""
 
     def handle_refusal(self, job: Job) -> None:
-        """Take out a waiting request that was refused."""
+        """Remove a waiting request that was refused."""
 
     def handle_topology_change(self) -> None:
-        """Note that routers see others or that a server leaves."""
+        """Handle a change of reachable routers or a server that is leaving."""
 
     def handle_restart(self, router: int) -> None:
-        """Note that a router has lost its state."""
+        """Handle a router restart that lost the router's state."""
 
 
 class Simulator:
-    """Everything outside the decisions."""
+    """Runs the event queue and models servers, links and faults around a policy."""
 
     def __init__(self, trace: traces.Trace, seed: int) -> None:
         self.trace = trace
@@ -182,17 +197,17 @@
     def schedule(
         self, at: float, call: Callable[..., None], *arguments: object
     ) -> None:
-        """Call something at a time."""
+        """Schedule a call at an absolute time."""
         heapq.heappush(self._events, (at, next(self._order), call, arguments))
 
     def schedule_after(
         self, seconds: float, call: Callable[..., None], *arguments: object
     ) -> None:
-        """Call something later."""
+        """Schedule a call after a delay."""
         self.schedule(self.now + seconds, call, *arguments)
 
     def can_reach(self, first: int, second: int) -> bool:
-        """Return whether two routers are alive and in one part of the fleet."""
+        """Return whether two routers are alive and in the same partition."""
         alive = self.alive[first] and self.alive[second]
         return alive and self.partition_ids[first] == self.partition_ids[second]
 
@@ -204,7 +219,7 @@
         call: Callable[..., None],
         *arguments: object,
     ) -> None:
-        """Carry a message of some bytes over the link between two routers."""
+        """Deliver a message of ``size`` bytes over the link between two routers."""
         if source == target:
             self.schedule_after(0.0, call, *arguments)
             return
@@ -219,7 +234,7 @@
         self.schedule(at, self._deliver, link, incarnations, call, arguments)
 
     def start_request(self, job: Job, server: str) -> bool:
-        """Send a request to a server; return False if it refuses, not run."""
+        """Send a request to a server; return False if the server refuses it."""
         entry = self.servers[server]
         if entry.leaving:
             return False
@@ -234,7 +249,10 @@
         return True
 
     def suspend(self, job: Job, recomputed: float) -> None:
-        """Cancel a stream, to be resumed; a part of it will be computed again."""
+        """Cancel a stream that resumes later.
+
+        On resumption, the share ``recomputed`` of the streamed units is computed again.
+        """
         self.measures.accumulate_slot_time()
         entry = self.servers[job.server]
         self._advance(entry)
@@ -248,7 +266,7 @@
         self.measures.record_suspension(job)
 
     def settle(self, job: Job, outcome: states.Outcome) -> None:
-        """Give a request its final answer."""
+        """Record the final outcome of a request."""
         self.measures.accumulate_slot_time()
         if job.state is states.RequestState.SENT:
             entry = self.servers[job.server]
@@ -261,7 +279,7 @@
         job.state = states.RequestState.SETTLED
 
     def streamed_units(self, job: Job) -> float:
-        """Return what a running request has received so far, in cost units."""
+        """Return the cost units that a running request has streamed so far."""
         entry = self.servers[job.server]
         self._advance(entry)
         return entry.streamed_units(job)
@@ -296,9 +314,9 @@
 
     def _schedule_completion(self, entry: BackendServer) -> None:
         entry.version += 1
-        found = entry.next_completion()
-        if found is not None:
-            seconds, job = found
+        completion = entry.next_completion()
+        if completion is not None:
+            seconds, job = completion
             self.schedule_after(seconds, self._complete, entry, entry.version, job)
 
     def _complete(self, entry: BackendServer, version: int, job: Job) -> None:
@@ -315,8 +333,8 @@
         arguments: tuple,
     ) -> None:
         source, target = link
-        now = (self.incarnations[source], self.incarnations[target])
-        if incarnations == now and self.can_reach(source, target):
+        current = (self.incarnations[source], self.incarnations[target])
+        if incarnations == current and self.can_reach(source, target):
             call(*arguments)
 
     def _sample(self) -> None:
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces: the file format, and the traces of both firms at today's sizes."""
+"""Request traces: the file format, and generated traces of the two example fleets."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 import numpy as np
 
-# Accounts are sized by a power law of this exponent: three of sixteen ask for half.
+# Exponent of the power law of account sizes; with 16 accounts, the largest three
+# send more than half of the load.
 SIZE_EXPONENT = 1.1
 
-# Hints are off by up to this factor in either direction, evenly in the logarithm.
+# Cost hints are wrong by up to this factor in either direction, log-uniformly.
 MAX_HINT_FACTOR = 3.0
 
-# Of ten requests one comes without a hint.
+# Share of requests without a cost hint.
 MISSING_HINT_SHARE = 0.1
 
-# Deviation of the logarithm of costs: one request in a hundred is ten times the mean.
+# Standard deviation of log costs; one request in a hundred costs ten times the mean.
 COST_LOG_DEVIATION = 1.2
 
 MEAN_COST_UNITS = 420.0
 MAX_COST_UNITS = 6000.0
 
-# Callers of planners and gangs wait this long, in seconds.
+# Seconds from arrival to deadline; callers of planners and gangs wait this long.
 DEADLINE_SECONDS = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Server:
-    """A backend server; ``rate`` is cost units a second for one busy slot."""
+    """A backend server; ``rate`` is the cost units per second of one busy slot."""
 
     id: str
     service: str
@@ -40,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that fails or changes at a time, in seconds."""
+    """A failure or topology change at a time, in seconds from the start."""
 
     at: float
     kind: str
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request of a caller."""
+    """A request; ``at`` and ``deadline`` are in seconds from the start."""
 
     at: float
     account: str
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trace:
-    """A whole trace."""
+    """A fleet, its faults, and the requests sent to it."""
 
     routers: int
     link_seconds: float
@@ -76,25 +77,25 @@
 
 
 def read(path: pathlib.Path) -> Trace:
-    """Read a trace of JSON lines: the fleet first, then one request a line."""
+    """Read a trace of JSON lines: the fleet first, then one request per line."""
     with path.open() as file:
-        head = json.loads(next(file))
+        header = json.loads(next(file))
         requests = tuple(Request(**json.loads(line)) for line in file if line.strip())
     return Trace(
-        head["routers"],
-        head["link_seconds"],
-        tuple(Server(**item) for item in head["servers"]),
-        head["accounts"],
-        tuple(_read_fault(item) for item in head["faults"]),
+        header["routers"],
+        header["link_seconds"],
+        tuple(Server(**item) for item in header["servers"]),
+        header["accounts"],
+        tuple(_read_fault(item) for item in header["faults"]),
         requests,
     )
 
 
 def write(trace: Trace, path: pathlib.Path) -> None:
     """Write a trace as JSON lines."""
-    head = dataclasses.asdict(trace)
-    requests = head.pop("requests")
-    lines = [json.dumps(item) for item in (head, *requests)]
+    header = dataclasses.asdict(trace)
+    requests = header.pop("requests")
+    lines = [json.dumps(item) for item in (header, *requests)]
     path.write_text("\n".join(lines) + "\n")
 
 
@@ -104,10 +105,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Firm:
-    """The backend servers of a firm: (service, servers, slots, rate, share of load).
+    """The backend servers of a firm.
 
-    The rate of the plain services is 1,000 units a second, so that a unit is a
-    millisecond of work.
+    Each service is a tuple of name, number of servers, slots per server, and cost units
+    per second and slot. Services that are not models have a rate of 1,000, so that one
+    unit is one millisecond of work.
     """
 
     name: str
@@ -131,23 +133,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workload:
-    """What a generated trace is like.
+    """Parameters of a generated trace.
 
     Attributes
     ----------
     load : float
-        Offered work over capacity.
+        Offered load as a multiple of capacity.
     flood_load : float
-        Offered work of the first account alone, over capacity, on top.
+        Additional load of the first account, as a multiple of capacity.
     on_one_router : bool
-        Whether the first account sits on one router and sends as much as the others
-        send together.
+        Whether the first account uses a single router and sends as much as all other
+        accounts together.
     long_requests : bool
-        Whether the second account sends only requests of the greatest cost.
+        Whether the second account sends only requests of the maximum cost.
     equal_accounts : bool
-        Whether all accounts send alike.
+        Whether all accounts send the same load.
     burst : bool
-        Whether all work of ten seconds comes in the first one.
+        Whether the requests of each ten seconds arrive within the first second.
     """
 
     load: float = 2.0
@@ -163,7 +165,7 @@
 
 
 def generate(firm: Firm, workload: Workload, seed: int) -> Trace:
-    """Return a trace of a firm; the same arguments give the same trace."""
+    """Generate a trace; the same arguments give the same trace."""
     generator = np.random.default_rng(seed)
     names = [f"account-{index:02}" for index in range(workload.accounts)]
     requests: list[Request] = []
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -1,4 +1,4 @@
-"""What callers receive when small traces are replayed, under load and faults."""
+"""Replays of small traces under load and faults."""
 
 from __future__ import annotations
 
@@ -47,75 +47,82 @@
 
 
 @functools.cache
-def play(case: str, policy: str = "celeryspan", seed: int = 1) -> dict[str, Any]:
+def replay_case(case: str, policy: str = "celeryspan", seed: int = 1) -> dict[str, Any]:
     return replay.replay(traces.generate(FIRM, CASES[case], seed), policy, seed)
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_nothing_runs_twice_or_is_lost_and_the_bound_holds(case: str) -> None:
-    """Whatever fails, each caller has one final answer, and the gap stays bounded."""
-    found = play(case)
+    """Under any fault, each request has one outcome and the gap stays within bounds."""
+    result = replay_case(case)
     requests = len(traces.generate(FIRM, CASES[case], 1).requests)
-    assert found["answered"] + found["not_run"] + found["unknown"] == requests
-    assert found["ran_twice"] == 0
-    assert found["gap_max"] < found["gap_bound"]
-    assert found["unknown"] == 0 or "restart" in case
+    assert result["answered"] + result["not_run"] + result["unknown"] == requests
+    assert result["ran_twice"] == 0
+    assert result["gap_max"] < result["gap_bound"]
+    assert result["unknown"] == 0 or "restart" in case
 
 
 @pytest.mark.parametrize("case", ["burst", "twice", "ten-times", "one-router"])
 def test_slots_do_not_idle_while_work_waits(case: str) -> None:
-    assert play(case)["utilisation"] >= 0.99 * play(case, "oracle")["utilisation"]
+    assert (
+        replay_case(case)["utilisation"]
+        >= 0.99 * replay_case(case, "oracle")["utilisation"]
+    )
 
 
 def test_flood_of_one_account_does_not_delay_the_others() -> None:
-    """An airline's script floods all routers with twice what the fleet can serve.
+    """One account floods all routers with twice the capacity of the fleet.
 
-    Were requests served in order of arrival, duty officers with one request each
-    would wait behind the flood for most of a minute.
+    Served in order of arrival, accounts with single requests would wait behind the
+    flood for most of a minute.
     """
-    found, line = play("hot-caller"), play("hot-caller", "fifo")
-    for account in list(found["per_account"])[8:]:
-        wait = found["per_account"][account]["wait_p99"]
-        assert wait < line["per_account"][account]["wait_p99"] / 3
-        assert found["per_account"][account]["not_run"] == 0
+    result, fifo = replay_case("hot-caller"), replay_case("hot-caller", "fifo")
+    for account in list(result["per_account"])[8:]:
+        wait = result["per_account"][account]["wait_p99"]
+        assert wait < fifo["per_account"][account]["wait_p99"] / 3
+        assert result["per_account"][account]["not_run"] == 0
 
 
 def test_account_on_one_router_gets_as_much_as_the_others() -> None:
-    """Fifteen accounts are spread over the routers, and one sits on a single one.
+    """Fifteen accounts use all routers, and one uses a single router.
 
-    With fair queues at each router alone its share is bound to that router's part of
-    the slots, whatever the others need.
+    If each router queued fairly by itself, that account would be limited to its
+    router's share of the slots, whatever the demand of the others.
     """
-    assert play("one-router")["gap_max"] * 5 <= play("one-router", "alone")["gap_max"]
+    assert (
+        replay_case("one-router")["gap_max"] * 5
+        <= replay_case("one-router", "alone")["gap_max"]
+    )
 
 
 def test_router_restarted_without_state_costs_no_fairness() -> None:
-    """A VM is replaced under load and its router comes back empty.
+    """A router restarts without state when its VM is replaced under load.
 
-    Callers of that router hear "unknown". It is home of some servers again at once;
-    would it lift accounts by the little that it knows, some would wait for minutes.
+    Requests of that router end as "unknown". The router is the home of some servers
+    again at once; if it lifted accounts by its incomplete counters, some accounts would
+    wait for minutes.
     """
-    assert play("restart")["gap_max"] < 3 * play("twice")["gap_max"]
+    assert replay_case("restart")["gap_max"] < 3 * replay_case("twice")["gap_max"]
 
 
 def test_partition_is_fairer_than_routers_alone() -> None:
-    """A router is cut off for seven seconds and rejoins.
+    """A router is partitioned from the others for seven seconds and rejoins.
 
-    Each side serves what it sees. Callers on the small side must neither starve nor
-    get their router's share of slots to themselves for ever.
+    Each side serves its own requests. Callers on the smaller side must neither starve
+    nor keep their router's share of the slots to themselves after the partition heals.
     """
-    found = play("cut")
-    assert found["utilisation"] > 0.98
-    assert found["gap_max"] < play("cut", "alone")["gap_max"]
+    result = replay_case("cut")
+    assert result["utilisation"] > 0.98
+    assert result["gap_max"] < replay_case("cut", "alone")["gap_max"]
 
 
 def test_long_jobs_do_not_starve_short_ones() -> None:
-    """One account sends only jobs of the greatest cost, 60 s of a slot each.
+    """One account sends only requests of the maximum cost, 60 s of a slot each.
 
-    Would they hold every slot, the others' requests would wait for a minute each.
+    If these held every slot, each request of the others would wait for a minute.
     """
-    found = play("long-jobs")["per_account"]
-    assert all(found[name]["wait_p50"] < 20.0 for name in list(found)[8:])
+    result = replay_case("long-jobs")["per_account"]
+    assert all(result[name]["wait_p50"] < 20.0 for name in list(result)[8:])
 
 
 def test_same_trace_and_seed_give_the_same_bytes(
@@ -136,7 +143,7 @@
 def test_replay_ends_though_no_server_is_left() -> None:
     """The only server of a service leaves while requests without deadlines wait.
 
-    Each of them is refused in the end, and that is true: none has run.
+    The replay must still end, and refuse each of these requests as not run.
     """
     server = traces.Server("gate-desk-0", "gate-desk", 1, 1000.0)
     requests = tuple(
@@ -146,5 +153,5 @@
     fault = traces.Fault(0.1, "leave", server="gate-desk-0")
     trace = traces.Trace(2, 0.001, (server,), {"airline": 1.0}, (fault,), requests)
     for policy in ("celeryspan", "oracle", "alone", "leased", "fifo"):
-        found = replay.replay(trace, policy, 1)
-        assert (found["answered"], found["not_run"]) == (1, 2)
+        result = replay.replay(trace, policy, 1)
+        assert (result["answered"], result["not_run"]) == (1, 2)
