--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -1,6 +1,7 @@
-"""Membership decisions of a whole fleet on a virtual clock.
+"""Membership of a whole fleet, simulated on a virtual clock.
 
-Only a queue of datagrams with delay and loss; each router is the decision itself.
+Each router runs the daemon's membership decisions; only the datagrams between them are
+simulated, with delay, loss and duplication.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 from celeryspan.wire import codec, messages, proofs
 
 TICK_SECONDS = 0.1
-DELAY_SECONDS = (0.0005, 0.004)
+DELAY_RANGE_SECONDS = (0.0005, 0.004)
 EXCHANGE_DELAY_SECONDS = 0.02
-LATE_SECONDS = 3.0
-OVERHEAD_BYTES = 28 + proofs.TAG_BYTES
-"""IP and UDP headers, and the tag."""
+MAX_DUPLICATE_DELAY_SECONDS = 3.0
+DATAGRAM_OVERHEAD_BYTES = 28 + proofs.TAG_BYTES
+"""Size of the IP and UDP headers and of the authentication tag."""
 
 Observer = Callable[[float, ids.RouterId, statements.Change, messages.Member], None]
 
 
 @dataclasses.dataclass(slots=True)
 class Router:
-    """One router: its decision, and until when it is paused."""
+    """A simulated router; it processes nothing before ``paused_until``."""
 
     decision: membership.Membership
     running: bool = True
@@ -39,15 +40,15 @@
 
     Parameters
     ----------
-    loss : float
-        Part of the datagrams that are lost.
-    disorder : float
-        Part of the datagrams that come twice, the second time late.
+    loss_share : float
+        Share of datagrams that are lost.
+    duplicate_share : float
+        Share of datagrams that are delivered twice, the second time late.
 
     Attributes
     ----------
-    cut : callable
-        Whether a datagram between two addresses is stopped by a partition.
+    is_partitioned : callable
+        Whether a partition blocks datagrams between two routers.
     """
 
     def __init__(
@@ -55,19 +56,21 @@
         size: int,
         seed: int,
         *,
-        loss: float = 0.01,
-        disorder: float = 0.0,
+        loss_share: float = 0.01,
+        duplicate_share: float = 0.0,
         joined: bool = True,
     ) -> None:
         self.now = 0.0
         self.bytes_sent = 0
         self.observe: Observer = lambda *_: None
-        self.cut: Callable[[ids.RouterId, ids.RouterId], bool] = lambda *_: False
-        self.loss = loss
-        self.disorder = disorder
+        self.is_partitioned: Callable[[ids.RouterId, ids.RouterId], bool] = lambda *_: (
+            False
+        )
+        self.loss_share = loss_share
+        self.duplicate_share = duplicate_share
         self.routers: dict[ids.RouterId, Router] = {}
         self._generator = random.Random(seed)
-        self._names: dict[ids.Address, ids.RouterId] = {}
+        self._routers_by_address: dict[ids.Address, ids.RouterId] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         members = [make_member(number) for number in range(size)]
@@ -75,7 +78,10 @@
             self.start(member, members if joined else members[:1])
 
     def start(self, member: messages.Member, known: Iterable[messages.Member]) -> None:
-        """Start a router that knows some members' statements or, by seeds, none."""
+        """Start a router that knows the given members.
+
+        A single member serves as seed address only; its statement is not known yet.
+        """
         generator = random.Random(self._generator.random())
         router = Router(membership.Membership(member, generator))
         router.decision.set_seeds(other.peer_address for other in known)
@@ -86,19 +92,21 @@
                 )
         router.decision.changes.clear()
         self.routers[member.router] = router
-        self._names[member.peer_address] = member.router
-        self._at(self._generator.uniform(0, 1), lambda: self._tick(member, router))
+        self._routers_by_address[member.peer_address] = member.router
+        self._schedule(
+            self._generator.uniform(0, 1), lambda: self._tick(member, router)
+        )
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, task = heapq.heappop(self._queue)
             task()
         self.now = end
 
-    def agrees(self) -> bool:
-        """Whether each running router holds exactly the running ones alive."""
+    def has_converged(self) -> bool:
+        """Return whether each running router sees exactly the running ones as alive."""
         running = {name for name, router in self.routers.items() if router.running}
         return all(
             {member.router for member in router.decision.alive()} == running
@@ -106,27 +114,27 @@
             if router.running
         )
 
-    def run_until_agreed(self, limit: float) -> float:
-        """Let time pass until all agree; returns how long it took, in seconds."""
-        began = self.now
-        while not self.agrees():
-            if self.now - began > limit:
-                raise AssertionError(f"no agreement within {limit} s")
+    def run_until_converged(self, limit: float) -> float:
+        """Run until all routers agree on the members; return the seconds it took."""
+        started_at = self.now
+        while not self.has_converged():
+            if self.now - started_at > limit:
+                raise AssertionError(f"membership did not converge within {limit} s")
             self.run(0.25)
-        return self.now - began
+        return self.now - started_at
 
-    def _at(self, delay: float, task: Callable[[], None]) -> None:
+    def _schedule(self, delay: float, task: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now + delay, next(self._order), task))
 
     def _tick(self, member: messages.Member, router: Router) -> None:
         if not router.running or self.routers[member.router] is not router:
             return
         if router.paused_until <= self.now:
-            self._carry_out(member.router, router, router.decision.tick(self.now))
-        wait = max(TICK_SECONDS, router.paused_until - self.now)
-        self._at(wait, lambda: self._tick(member, router))
+            self._apply_actions(member.router, router, router.decision.tick(self.now))
+        delay = max(TICK_SECONDS, router.paused_until - self.now)
+        self._schedule(delay, lambda: self._tick(member, router))
 
-    def _carry_out(
+    def _apply_actions(
         self,
         name: ids.RouterId,
         router: Router,
@@ -138,26 +146,29 @@
         for action in actions:
             if isinstance(action, statements.Send):
                 self._send(name, router, action)
-            elif not self.cut(name, action.peer):
-                self._exchange(name, action.peer)
+            elif not self.is_partitioned(name, action.peer):
+                self._exchange_members(name, action.peer)
 
     def _send(
         self, name: ids.RouterId, router: Router, action: statements.Send
     ) -> None:
         incarnation = router.decision.own.incarnation
         frame = messages.Frame(name, incarnation, 1, action.batch)
-        self.bytes_sent += len(codec.encode(frame)) + OVERHEAD_BYTES
-        target = self._names.get(action.address)
-        if target is None or self.cut(name, target):
+        self.bytes_sent += len(codec.encode(frame)) + DATAGRAM_OVERHEAD_BYTES
+        target = self._routers_by_address.get(action.address)
+        if target is None or self.is_partitioned(name, target):
             return
-        if self._generator.random() < self.loss:
+        if self._generator.random() < self.loss_share:
             return
         source = router.decision.own.peer_address
-        delay = self._generator.uniform(*DELAY_SECONDS)
-        self._at(delay, lambda: self._deliver(name, source, target, action.batch))
-        if self._generator.random() < self.disorder:
-            late = self._generator.uniform(0, LATE_SECONDS)
-            self._at(late, lambda: self._deliver(name, source, target, action.batch))
+        delay = self._generator.uniform(*DELAY_RANGE_SECONDS)
+        self._schedule(delay, lambda: self._deliver(name, source, target, action.batch))
+        if self._generator.random() < self.duplicate_share:
+            duplicate_delay = self._generator.uniform(0, MAX_DUPLICATE_DELAY_SECONDS)
+            self._schedule(
+                duplicate_delay,
+                lambda: self._deliver(name, source, target, action.batch),
+            )
 
     def _deliver(
         self,
@@ -170,37 +181,37 @@
         if not router.running:
             return
         if router.paused_until > self.now:
-            wait = router.paused_until - self.now + 0.001
-            self._at(wait, lambda: self._deliver(sender, source, target, batch))
+            delay = router.paused_until - self.now + 0.001
+            self._schedule(delay, lambda: self._deliver(sender, source, target, batch))
             return
         actions = router.decision.receive(self.now, sender, source, batch)
-        self._carry_out(target, router, actions)
+        self._apply_actions(target, router, actions)
 
-    def _exchange(self, first: ids.RouterId, second: ids.RouterId) -> None:
+    def _exchange_members(self, first: ids.RouterId, second: ids.RouterId) -> None:
         for sender, target in ((first, second), (second, first)):
-            statements = self.routers[sender].decision.list_members()
-            self._at(
+            members = self.routers[sender].decision.list_members()
+            self._schedule(
                 EXCHANGE_DELAY_SECONDS,
-                lambda sender=sender, target=target, statements=statements: (
-                    self._hand_over(sender, target, statements)
+                lambda sender=sender, target=target, members=members: (
+                    self._deliver_members(sender, target, members)
                 ),
             )
 
-    def _hand_over(
+    def _deliver_members(
         self,
         sender: ids.RouterId,
         target: ids.RouterId,
-        statements: list[messages.Member],
+        members: list[messages.Member],
     ) -> None:
         router = self.routers[target]
         if not router.running or not self.routers[sender].running:
             return
         actions: list[statements.Action] = []
-        for member in statements:
+        for member in members:
             actions += router.decision.handle_statement(
                 member, self.now, sender, spread=False
             )
-        self._carry_out(target, router, actions)
+        self._apply_actions(target, router, actions)
 
 
 def make_member(number: int, incarnation: int = 1) -> messages.Member:
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = virtual.Fleet(SIZE, 6, loss=0.1, disorder=0.2)
+        self.fleet = virtual.Fleet(SIZE, 6, loss_share=0.1, duplicate_share=0.2)
         self.names = list(self.fleet.routers)
         self.incarnations = 1
 
@@ -46,9 +46,11 @@
             case "pause":
                 router.paused_until = self.fleet.now + seconds
             case "cut":
-                self.fleet.cut = lambda one, other: (one in inside) != (other in inside)
+                self.fleet.is_partitioned = lambda one, other: (
+                    (one in inside) != (other in inside)
+                )
             case "heal":
-                self.fleet.cut = lambda *_: False
+                self.fleet.is_partitioned = lambda *_: False
         self.fleet.run(seconds)
 
     def restart_without_state(self, number: int) -> None:
@@ -62,11 +64,11 @@
             assert router.decision.own.state is states.MemberState.ALIVE
 
     def teardown(self) -> None:
-        self.fleet.cut = lambda *_: False
-        self.fleet.loss, self.fleet.disorder = 0.01, 0.0
+        self.fleet.is_partitioned = lambda *_: False
+        self.fleet.loss_share, self.fleet.duplicate_share = 0.01, 0.0
         for router in self.fleet.routers.values():
             router.paused_until = min(router.paused_until, self.fleet.now)
-        self.fleet.run_until_agreed(AGREE_SECONDS)
+        self.fleet.run_until_converged(AGREE_SECONDS)
 
 
 TestMembership = MembershipMachine.TestCase
@@ -109,15 +111,15 @@
     Its host pauses it for a minute, and its peers declare it dead. When it resumes, its
     probes from before the pause have timed out because it could not read the acks.
     """
-    fleet = virtual.Fleet(6, 2, loss=0.0)
+    fleet = virtual.Fleet(6, 2, loss_share=0.0)
     fleet.run(5)
     paused = fleet.routers["router-0003"]
     paused.paused_until = fleet.now + 60
     fleet.run(59)
-    assert not fleet.agrees()
+    assert not fleet.has_converged()
     suspected = record_changes(fleet, statements.Change.SUSPECTED)
     refuted = record_changes(fleet, statements.Change.REFUTED)
-    fleet.run_until_agreed(10)
+    fleet.run_until_converged(10)
     assert suspected == []
     assert {name for _, name in refuted} <= {"router-0003"}
     assert paused.decision.own.refutations == 1
@@ -133,7 +135,7 @@
     fleet = virtual.Fleet(12, 3)
     names = list(fleet.routers)
     for inside in ({*names[:6]}, {*names[3:8]}):
-        fleet.cut = lambda one, other, inside=inside: (
+        fleet.is_partitioned = lambda one, other, inside=inside: (
             (one in inside) != (other in inside)
         )
         fleet.run(20)
@@ -141,8 +143,8 @@
         fleet.run(20)
         visible = fleet.routers[names[5]].decision.alive()
         assert {member.router for member in visible} == inside
-    fleet.cut = lambda *_: False
-    assert fleet.run_until_agreed(20) < 20
+    fleet.is_partitioned = lambda *_: False
+    assert fleet.run_until_converged(20) < 20
 
 
 def test_leaving_router_is_reported_as_leaving() -> None:
@@ -151,19 +153,19 @@
     leaving = record_changes(fleet, statements.Change.LEAVING)
     router = fleet.routers["router-0002"]
     actions = router.decision.leave(states.MemberState.LEAVING)
-    fleet._carry_out("router-0002", router, actions)
+    fleet._apply_actions("router-0002", router, actions)
     fleet.run(1)
     assert len(leaving) == 5
 
 
 def test_busy_state_of_a_router_reaches_all_others() -> None:
     """Guards against routers that select different homes while an overload lasts."""
-    fleet = virtual.Fleet(60, 4, loss=0.1, disorder=0.2)
+    fleet = virtual.Fleet(60, 4, loss_share=0.1, duplicate_share=0.2)
     fleet.run(20.0)
     names = list(fleet.routers)
     router = fleet.routers[names[7]]
     for is_busy in (True, False):
-        fleet._carry_out(names[7], router, router.decision.set_busy(is_busy))
+        fleet._apply_actions(names[7], router, router.decision.set_busy(is_busy))
         fleet.run(3.0)
         for name in names[:7] + names[8:]:
             record = fleet.routers[name].decision.members.find(names[7])
