--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,6 +1,6 @@
-"""Prefix affinity against load: time saved, and whether a hot prefix is a bottleneck.
+"""Prefix affinity under load: time saved, and behaviour with a hot prefix.
 
-``python -m bench routing`` prints one table for each load pattern.
+``python -m bench routing`` prints one table per load pattern.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 SEEDS = (1, 2)
 SECONDS = 30.0
 BLOCKS = 40
-"""Blocks of a prompt: 0.8 s to compute at 20 ms each, against 0.4 s for the answer."""
+"""Blocks per prompt: 0.8 s to compute at 20 ms each, and 0.4 s for the answer."""
 
 PREFIXES = 60
 CACHE_BLOCKS = 400
-"""A server keeps ten prompts of the sixty, six servers together all of them."""
+"""Cache size of a server: ten of the 60 prefixes, so six servers hold all of them."""
 
 
 def make_prompt(prefix: int, call: int) -> tuple[int, ...]:
-    """Return blocks of which all but the last two are shared by a prefix."""
+    """Return the blocks of a prompt; all but the last two belong to the prefix."""
     shared = [prefix * 1000 + index for index in range(BLOCKS - 2)]
     return (*shared, -2 * call, -2 * call - 1)
 
 
 def make_calls(rate: float, hot_share: float, seed: int) -> list[one_router.Call]:
-    """Return calls of four accounts, a share of them with one hot prefix."""
+    """Return calls of four accounts; ``hot_share`` of them use one hot prefix."""
     rng = random.Random(seed)
     calls, at = [], 0.0
     while (at := at + rng.expovariate(rate)) < SECONDS:
@@ -57,7 +57,7 @@
 
 
 def measure(pattern: str, case: str, seeds: tuple[int, ...] = SEEDS) -> dict:
-    """Return means over seeds of one pattern under one set of mechanisms."""
+    """Return the mean results over seeds for one pattern and set of mechanisms."""
     results = []
     for seed in seeds:
         servers = [
@@ -65,7 +65,7 @@
         ]
         router = one_router.Router(servers, CASES[case], seed)
         records = router.run(PATTERNS[pattern](seed))
-        waits = sorted(one.wait for one in records)
+        waits = sorted(record.wait for record in records)
         busy = [server.busy_seconds for server in servers]
         results.append(
             {
@@ -76,13 +76,13 @@
             }
         )
     return {
-        name: round(statistics.fmean(one[name] for one in results), 3)
+        name: round(statistics.fmean(result[name] for result in results), 3)
         for name in results[0]
     }
 
 
 def run(arguments: list[str]) -> int:
-    """Print a table for each load pattern and the JSON of all."""
+    """Print a table per load pattern, then all results as JSON."""
     del arguments
     table = tables.print_patterns(PATTERNS, CASES, measure)
     print(json.dumps({"bench": "routing", "patterns": table}))
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -18,10 +18,10 @@
     is reduced several times for the same overload, then grows until it overloads the
     engine again, so that streams stall in turns of half a minute.
     """
-    result = loop.play("celeryspan", lag)
+    result = loop.simulate("celeryspan", lag)
     assert result.utilisation > least
     assert result.swing < 3.0
-    assert result.utilisation > loop.play("follow", lag).utilisation
+    assert result.utilisation > loop.simulate("follow", lag).utilisation
 
 
 def test_one_overload_reduces_the_window_once() -> None:
