--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces: the file format, and the traces of both firms at today's sizes."""
+"""Request traces: the file format, and generated traces of the two example fleets."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 import numpy as np
 
-# Accounts are sized by a power law of this exponent: three of sixteen ask for half.
+# Exponent of the power law of account sizes; with 16 accounts, the largest three
+# send more than half of the load.
 SIZE_EXPONENT = 1.1
 
-# Hints are off by up to this factor in either direction, evenly in the logarithm.
-HINT_FACTOR = 3.0
+# Cost hints are wrong by up to this factor in either direction, log-uniformly.
+MAX_HINT_FACTOR = 3.0
 
-# Of ten requests one comes without a hint.
-HINT_MISSING = 0.1
+# Share of requests without a cost hint.
+MISSING_HINT_SHARE = 0.1
 
-# Deviation of the logarithm of costs: one request in a hundred is ten times the mean.
-COST_SIGMA = 1.2
+# Standard deviation of log costs; one request in a hundred costs ten times the mean.
+COST_LOG_DEVIATION = 1.2
 
-MEAN_COST = 420.0
-GREATEST_COST = 6000.0
+MEAN_COST_UNITS = 420.0
+MAX_COST_UNITS = 6000.0
 
-# Callers of planners and gangs wait this long, in seconds.
+# Seconds from arrival to deadline; callers of planners and gangs wait this long.
 DEADLINE_SECONDS = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Server:
-    """A backend server; ``rate`` is cost units a second for one busy slot."""
+    """A backend server; ``rate`` is the cost units per second of one busy slot."""
 
     id: str
     service: str
@@ -40,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that fails or changes at a time, in seconds."""
+    """A failure or topology change at a time, in seconds from the start."""
 
     at: float
     kind: str
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request of a caller."""
+    """A request; ``at`` and ``deadline`` are in seconds from the start."""
 
     at: float
     account: str
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trace:
-    """A whole trace."""
+    """A fleet, its faults, and the requests sent to it."""
 
     routers: int
     link_seconds: float
@@ -76,25 +77,25 @@
 
 
 def read(path: pathlib.Path) -> Trace:
-    """Read a trace of JSON lines: the fleet first, then one request a line."""
+    """Read a trace of JSON lines: the fleet first, then one request per line."""
     with path.open() as file:
-        head = json.loads(next(file))
+        header = json.loads(next(file))
         requests = tuple(Request(**json.loads(line)) for line in file if line.strip())
     return Trace(
-        head["routers"],
-        head["link_seconds"],
-        tuple(Server(**item) for item in head["servers"]),
-        head["accounts"],
-        tuple(_read_fault(item) for item in head["faults"]),
+        header["routers"],
+        header["link_seconds"],
+        tuple(Server(**item) for item in header["servers"]),
+        header["accounts"],
+        tuple(_read_fault(item) for item in header["faults"]),
         requests,
     )
 
 
 def write(trace: Trace, path: pathlib.Path) -> None:
     """Write a trace as JSON lines."""
-    head = dataclasses.asdict(trace)
-    requests = head.pop("requests")
-    lines = [json.dumps(item) for item in (head, *requests)]
+    header = dataclasses.asdict(trace)
+    requests = header.pop("requests")
+    lines = [json.dumps(item) for item in (header, *requests)]
     path.write_text("\n".join(lines) + "\n")
 
 
@@ -104,10 +105,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Firm:
-    """The backend servers of a firm: (service, servers, slots, rate, share of load).
+    """The backend servers of a firm.
 
-    The rate of the plain services is 1,000 units a second, so that a unit is a
-    millisecond of work.
+    Each service is a tuple of name, number of servers, slots per server, and cost units
+    per second and slot. Services that are not models have a rate of 1,000, so that one
+    unit is one millisecond of work.
     """
 
     name: str
@@ -130,49 +132,51 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Case:
-    """What a generated trace is like.
+class Workload:
+    """Parameters of a generated trace.
 
     Attributes
     ----------
     load : float
-        Offered work over capacity.
-    floods : float
-        Offered work of the first account alone, over capacity, on top.
-    lone : bool
-        Whether the first account sits on one router and sends as much as the others
-        send together.
-    long : bool
-        Whether the second account sends only requests of the greatest cost.
-    even : bool
-        Whether all accounts send alike.
+        Offered load as a multiple of capacity.
+    flood_load : float
+        Additional load of the first account, as a multiple of capacity.
+    on_one_router : bool
+        Whether the first account uses a single router and sends as much as all other
+        accounts together.
+    long_requests : bool
+        Whether the second account sends only requests of the maximum cost.
+    equal_accounts : bool
+        Whether all accounts send the same load.
     burst : bool
-        Whether all work of ten seconds comes in the first one.
+        Whether the requests of each ten seconds arrive within the first second.
     """
 
     load: float = 2.0
     seconds: float = 120.0
-    floods: float = 0.0
-    lone: bool = False
-    long: bool = False
-    even: bool = False
+    flood_load: float = 0.0
+    on_one_router: bool = False
+    long_requests: bool = False
+    equal_accounts: bool = False
     burst: bool = False
     faults: tuple[Fault, ...] = ()
     routers: int = 6
     accounts: int = 16
 
 
-def generate(firm: Firm, case: Case, seed: int) -> Trace:
-    """Return a trace of a firm; the same arguments give the same trace."""
+def generate(firm: Firm, workload: Workload, seed: int) -> Trace:
+    """Generate a trace; the same arguments give the same trace."""
     generator = np.random.default_rng(seed)
-    names = [f"account-{index:02}" for index in range(case.accounts)]
+    names = [f"account-{index:02}" for index in range(workload.accounts)]
     requests: list[Request] = []
     for service, count, slots, rate in firm.services:
         capacity = count * slots * rate
-        for index in range(case.accounts):
-            work = capacity * _share(case, index) * case.seconds
-            spread = _spread(generator, case, index)
-            requests += _requests(generator, case, names[index], service, work, spread)
+        for index in range(workload.accounts):
+            work = capacity * _load_share(workload, index) * workload.seconds
+            router_shares = _router_shares(generator, workload, index)
+            requests += _generate_requests(
+                generator, workload, names[index], service, work, router_shares
+            )
     requests.sort(key=lambda item: (item.at, item.account, item.service))
     servers = tuple(
         Server(f"{service}-{index}", service, slots, rate)
@@ -181,55 +185,59 @@
     )
     weights = dict.fromkeys(names, 1.0)
     return Trace(
-        case.routers,
+        workload.routers,
         firm.link_seconds,
         servers,
         weights,
-        case.faults,
+        workload.faults,
         tuple(requests),
     )
 
 
-def _share(case: Case, index: int) -> float:
+def _load_share(workload: Workload, index: int) -> float:
     sizes = [
-        1.0 if case.even else (1 + item) ** -SIZE_EXPONENT
-        for item in range(case.accounts)
+        1.0 if workload.equal_accounts else (1 + item) ** -SIZE_EXPONENT
+        for item in range(workload.accounts)
     ]
-    if case.lone:
+    if workload.on_one_router:
         sizes[0] = sum(sizes[1:])
-    share = case.load * sizes[index] / sum(sizes)
-    return share + (case.floods if index == 0 else 0.0)
+    share = workload.load * sizes[index] / sum(sizes)
+    return share + (workload.flood_load if index == 0 else 0.0)
 
 
-def _spread(generator: np.random.Generator, case: Case, index: int) -> np.ndarray:
-    if case.lone and index == 0:
-        return np.eye(case.routers)[0]
-    if case.floods and index == 0:
-        return np.full(case.routers, 1.0 / case.routers)
-    return generator.dirichlet(np.full(case.routers, 0.5))
+def _router_shares(
+    generator: np.random.Generator, workload: Workload, index: int
+) -> np.ndarray:
+    if workload.on_one_router and index == 0:
+        return np.eye(workload.routers)[0]
+    if workload.flood_load and index == 0:
+        return np.full(workload.routers, 1.0 / workload.routers)
+    return generator.dirichlet(np.full(workload.routers, 0.5))
 
 
-def _requests(
+def _generate_requests(
     generator: np.random.Generator,
-    case: Case,
+    workload: Workload,
     account: str,
     service: str,
     work: float,
-    spread: np.ndarray,
+    router_shares: np.ndarray,
 ) -> list[Request]:
-    is_long = case.long and account.endswith("01")
-    mean = GREATEST_COST if is_long else MEAN_COST
+    is_long = workload.long_requests and account.endswith("01")
+    mean = MAX_COST_UNITS if is_long else MEAN_COST_UNITS
     count = generator.poisson(work / mean)
-    times = np.sort(generator.uniform(0.0, case.seconds, count))
-    if case.burst:
+    times = np.sort(generator.uniform(0.0, workload.seconds, count))
+    if workload.burst:
         times = np.floor(times / 10.0) * 10.0 + (times % 10.0) / 10.0
     costs = generator.lognormal(
-        np.log(mean) - COST_SIGMA**2 / 2, 0.0 if is_long else COST_SIGMA, count
-    ).clip(1.0, GREATEST_COST)
-    costs = np.full(count, GREATEST_COST) if is_long else costs
-    factors = HINT_FACTOR ** generator.uniform(-1.0, 1.0, count)
-    missing = generator.random(count) < HINT_MISSING
-    routers = generator.choice(case.routers, count, p=spread)
+        np.log(mean) - COST_LOG_DEVIATION**2 / 2,
+        0.0 if is_long else COST_LOG_DEVIATION,
+        count,
+    ).clip(1.0, MAX_COST_UNITS)
+    costs = np.full(count, MAX_COST_UNITS) if is_long else costs
+    factors = MAX_HINT_FACTOR ** generator.uniform(-1.0, 1.0, count)
+    missing = generator.random(count) < MISSING_HINT_SHARE
+    routers = generator.choice(workload.routers, count, p=router_shares)
     idempotent = generator.random(count) < 0.5
     return [
         Request(
