--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -40,7 +40,7 @@
     account_bounds = []
     for account in accounts:
         weight = simulator.trace.accounts[account]
-        held = simulator.measures.most_held.get((service, account), 0)
+        held = simulator.measures.peak_held.get((service, account), 0)
         streaming = sum(heapq.nlargest(held, costs[account])) / weight
         charged = 3.0 * charge * held / weight
         account_bounds.append(streaming + charged + 2.0 * unreported / weight)
@@ -75,7 +75,7 @@
             total += (
                 healed
                 - fault.at
-                + simulation.DETECT_SECONDS
+                + simulation.FAILURE_DETECTION_SECONDS
                 + grants.LIFT_WARMUP_SECONDS
             )
         if fault.kind == "restart":
