--- a/bench/engines/engine.py
+++ b/bench/engines/engine.py
@@ -97,11 +97,15 @@
                 recomputed += part.tokens
         job.remaining_prompt_tokens = max(1, job.ask.prompt_tokens - cached)
         job.context_tokens = cached
-        job.prefilled_tokens = job.remaining_prompt_tokens
-        job.recomputed_tokens = recomputed
+        job.prefilled_tokens, job.recomputed_tokens = (
+            job.remaining_prompt_tokens,
+            recomputed,
+        )
         job.started, job.engine = now, self.name
         self._prefilling.append(job)
-        self._count_run(now)
+        self.runs += 1
+        if self.next_step_at is None:
+            self.next_step_at = now
 
     def remove(self, job: Job) -> bool:
         """Remove a job that is decoding; returns whether it was found."""
@@ -114,7 +118,9 @@
         """Continue decoding a job that was prefilled at another engine."""
         job.engine = self.name
         self._decoding.append(job)
-        self._count_run(now)
+        self.runs += 1
+        if self.next_step_at is None:
+            self.next_step_at = now
 
     def step(self, known_parts: set[str]) -> tuple[list[Job], list[Job]]:
         """Run one step; returns the jobs that emitted an event and those that ended."""
@@ -130,11 +136,13 @@
         for job in list(self._decoding):
             job.generated_tokens += 1
             job.context_tokens += 1
-            is_last = job.generated_tokens >= job.output_tokens
-            if is_last or job.generated_tokens % self._site.stride == 0:
+            if (
+                job.generated_tokens % self._site.stride == 0
+                or job.generated_tokens >= job.output_tokens
+            ):
                 job.events.append(self.next_step_at)
                 emitted.append(job)
-            if is_last:
+            if job.generated_tokens >= job.output_tokens:
                 self._decoding.remove(job)
                 ended.append(job)
         for job in prefilled:
@@ -148,11 +156,6 @@
         """Return the number of jobs in progress."""
         return len(self._prefilling) + len(self._decoding)
 
-    def _count_run(self, now: float) -> None:
-        self.runs += 1
-        if self.next_step_at is None:
-            self.next_step_at = now
-
     def _prefill_chunk(self) -> tuple[float, list[Job]]:
         """Prefill up to one chunk in order of arrival.
 
@@ -174,12 +177,13 @@
 
     def _cache_prompt(self, job: Job, known_parts: set[str]) -> None:
         """Cache the parts of a prompt, then evict until the cache fits in memory."""
-        self.cache_parts(job.ask.parts)
-        known_parts.update(part.part for part in job.ask.parts)
+        for part in reversed(job.ask.parts):
+            self._cached_tokens += part.tokens - self._cache.pop(part.part, 0)
+            self._cache[part.part] = part.tokens
+            known_parts.add(part.part)
         running = sum(
             each.context_tokens for each in (*self._decoding, *self._prefilling)
         )
-        memory = self._site.memory_tokens
-        while self._cache and self._cached_tokens + running > memory:
+        while self._cache and self._cached_tokens + running > self._site.memory_tokens:
             _, tokens = self._cache.popitem(last=False)
             self._cached_tokens -= tokens
