--- a/bench/engines/trial.py
+++ b/bench/engines/trial.py
@@ -250,14 +250,15 @@
 
     def _do_step(self, running: engine.Engine, _: float) -> None:
         emitted, ended = running.step(self._known_parts)
+        next_step_at = (running.next_step_at or 0.0) if running.next_step_at else None
         for job in emitted:
             if len(job.events) == 1:
                 self._schedule(job.events[0] + self._delay(), "begun", job.ask)
         for job in ended:
             self._outcomes[job.ask.request].is_ended = True
             self._schedule(job.events[-1] + self._delay(), "ended", job.ask)
-        if running.next_step_at:
-            self._schedule(running.next_step_at, "step", running)
+        if next_step_at is not None:
+            self._schedule(next_step_at, "step", running)
 
     def _do_begun(self, ask: messages.SlotRequest, now: float) -> None:
         target = self._pool.begin(ask.request, self._servers[ask.request], now)
