--- a/bench/faultcallers.py
+++ b/bench/faultcallers.py
@@ -228,8 +228,10 @@
         record_answer(request, answer)
         has_unknown |= request.outcome is Outcome.UNKNOWN
         if request.outcome is Outcome.ANSWERED:
-            if repeats:
-                caller.post(make_path(request), request.marker.encode(), **headers)
+            if not repeats:
+                return
+            repeats = False
+            caller.post(make_path(request), request.marker.encode(), **headers)
             return
         time.sleep(0.5)
     if has_unknown and request.outcome is Outcome.NOT_RUN:
