--- a/bench/soakfatal.py
+++ b/bench/soakfatal.py
@@ -45,9 +45,9 @@
 WINDOW_SECONDS = 3.0
 """Time after the third crash from which copies of a fatal request count as late."""
 
-CRASHES_MIN = 3
-LATE_COPIES_MAX = 3
-"""Number of late copies of a fatal request that may reach servers."""
+CRASHES_MAX = 3
+"""Number of crashes by one request before the window starts, and number of late copies
+that may still reach servers."""
 
 
 class FatalCaller:
@@ -84,7 +84,7 @@
     def count_excess(self, servers: Iterable[platformserver.PlatformServer]) -> int:
         """Return the number of late copies beyond the allowed number."""
         found = list(servers)
-        return sum(max(0, count_late(body, found) - LATE_COPIES_MAX) for body in BODIES)
+        return sum(max(0, count_late(body, found) - CRASHES_MAX) for body in BODIES)
 
     def _send_bursts(self) -> None:
         while not self._stopped.wait(self._random.uniform(*QUIET_SECONDS)):
@@ -143,9 +143,9 @@
     """Return how many copies reached servers after the window."""
     found = list(servers)
     crashes = sorted(each.crashed_at for each in found if each.crashed_by == body)
-    if len(crashes) < CRASHES_MIN:
+    if len(crashes) < CRASHES_MAX:
         return 0
-    late_from = crashes[CRASHES_MIN - 1] + WINDOW_SECONDS
+    late_from = crashes[2] + WINDOW_SECONDS
     return sum(
         request.at > late_from
         for server in found
