--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -212,9 +212,11 @@
         started_at = virtual_fleet.now
         virtual_fleet.publish(change)
         virtual_fleet.run(12.0)
-        applied = len(virtual_fleet.in_force_at)
-        if applied < size:
-            print(f"change {change}: applied by {applied} of {size} routers in 12 s")
+        if len(virtual_fleet.in_force_at) < size:
+            print(
+                f"change {change}: applied by {len(virtual_fleet.in_force_at)} of {size} "
+                "routers in 12 s"
+            )
             return float("inf"), virtual_fleet.reverts
         longest = max(
             longest, *(at - started_at for at in virtual_fleet.in_force_at.values())
@@ -242,21 +244,23 @@
     candidates = [leases.Lease(f"router-{number}") for number in range(6)]
     values: list[leases.Record | None] = [None]
     paused_until = [0.0] * 6
-    doubles = writes = 0
+    doubles = store_writes = 0
     for tick in range(LEASE_HOURS * 3600):
         for number, lease in enumerate(candidates):
             if generator.random() < 0.002:
                 paused_until[number] = tick + generator.uniform(1, 60)
             if tick >= paused_until[number]:
                 clock = tick * rates[number]
-                writes += _step_lease(
+                store_writes += _step_lease(
                     lease, clock, values, f"{tick}/{number}", generator
                 )
         holders = sum(
             lease.holds(tick * rates[number]) for number, lease in enumerate(candidates)
         )
         doubles += holders > 1
-    print(f"{LEASE_HOURS} h of one lease: {writes} writes, fence {values[-1].fence}")
+    print(
+        f"{LEASE_HOURS} h of one lease: {store_writes} writes, fence {values[-1].fence}"
+    )
     return doubles
 
 
