--- a/bench/passing.py
+++ b/bench/passing.py
@@ -55,7 +55,9 @@
         url = f"http://{setup.router}/v1/services/{fleet.GATE}/status"
         overhead.time_calls(url, 1, 50)
         calls = [
-            measure_work(router, functools.partial(overhead.time_calls, url, 1, size))
+            measure_work(router, functools.partial(overhead.time_calls, url, 1, size))[
+                0
+            ]
             for size in CALL_COUNTS
         ]
         streams = [
@@ -64,7 +66,7 @@
         ]
     tokens = [size * overhead.STREAM_TOKENS for size in STREAM_COUNTS]
     return [
-        fits.fit("request passed on", "us", CALL_COUNTS, [time for time, _ in calls]),
+        fits.fit("request passed on", "us", CALL_COUNTS, calls),
         fits.fit("token passed on", "us", tokens, [time for time, _ in streams]),
         fits.fit("stream", "bytes", STREAM_COUNTS, [memory for _, memory in streams]),
     ]
@@ -92,8 +94,7 @@
             for index in range(count)
         ]
     )
-    expected = count * overhead.STREAM_TOKENS
-    if sum(tokens) != expected:
+    if sum(tokens) != count * overhead.STREAM_TOKENS:
         raise RuntimeError(
-            f"{count} streams delivered {sum(tokens)} tokens, expected {expected}"
+            f"unexpected token count: {sum(tokens)} tokens from {count} streams"
         )
