--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -63,12 +63,12 @@
         "| item | unit | sizes | values | slope | base | greatest error |",
         "|---|---|---|---|---|---|---|",
     ]
-    for slope in slopes:
-        sizes = ", ".join(f"{size:,}" for size in slope.sizes)
-        values = ", ".join(f"{value:,.0f}" for value in slope.values)
+    for fit in slopes:
+        sizes = ", ".join(f"{size:,}" for size in fit.sizes)
+        values = ", ".join(f"{value:,.0f}" for value in fit.values)
         lines.append(
-            f"| {slope.name} | {slope.unit} | {sizes} | {values} | {slope.slope:,.2f} "
-            f"| {slope.base:,.0f} | {slope.error:.1%} |"
+            f"| {fit.name} | {fit.unit} | {sizes} | {values} | {fit.slope:,.2f} "
+            f"| {fit.base:,.0f} | {fit.error:.1%} |"
         )
     lines += [
         "",
