--- a/bench/soak.py
+++ b/bench/soak.py
@@ -302,9 +302,9 @@
     """Delay, silence or cut the connections through one proxy for a while."""
     name = soak.random.choice(sorted(soak.proxies))
     proxy = soak.proxies[name]
-    mode = soak.random.choice(list(soakparts.ProxyMode))
-    proxy.mode, proxy.delay = mode, soak.random.choice((0.0, 0.05, 0.3))
-    soak.record_event(f"{name}: {mode.value}, delayed by {proxy.delay} s")
+    proxy_mode = soak.random.choice(list(soakparts.ProxyMode))
+    proxy.mode, proxy.delay = proxy_mode, soak.random.choice((0.0, 0.05, 0.3))
+    soak.record_event(f"{name}: {proxy_mode.value}, delayed by {proxy.delay} s")
 
     def restore() -> None:
         proxy.mode, proxy.delay = soakparts.ProxyMode.OPEN, 0.0
@@ -324,9 +324,9 @@
 def spoil(soak: Soak) -> None:
     """Make a server answer the next three requests incorrectly."""
     server = soak.random.choice(soak.servers)
-    actions = soak.random.choices(FAULTY_ANSWERS[server.name.partition("-")[0]], k=3)
-    soak.record_event(f"{server.name} next answers: {actions}")
-    server.script.extend(actions)
+    steps = soak.random.choices(FAULTY_ANSWERS[server.name.partition("-")[0]], k=3)
+    soak.record_event(f"{server.name} next answers: {steps}")
+    server.script.extend(steps)
 
 
 @fault
