--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -214,8 +214,8 @@
         virtual_fleet.run(12.0)
         if len(virtual_fleet.in_force_at) < size:
             print(
-                f"change {change}: applied by {len(virtual_fleet.in_force_at)} of {size} "
-                "routers in 12 s"
+                f"change {change}: applied by {len(virtual_fleet.in_force_at)} of "
+                f"{size} routers in 12 s"
             )
             return float("inf"), virtual_fleet.reverts
         longest = max(
