--- a/celeryspan/explanations.py
+++ b/celeryspan/explanations.py
@@ -57,7 +57,7 @@
 
 @explains(events.Event.REQUEST_SENT)
 def _explain_sent(fields: Fields) -> str:
-    kind = "reused" if fields.get("reused") else "new"
+    kind = "kept" if fields.get("reused") else "new"
     return (
         f"sent to {fields.get('server')} (attempt {fields.get('attempt')},"
         f" {render_seconds(fields, 'left')} left, on a {kind} connection)"
@@ -200,7 +200,7 @@
     if outcome == "not-run":
         return f"refused ({code}); each server it was sent to reported not running it"
     servers = ", ".join(str(each.fields.get("server")) for each in trace.sent)
-    return f"unknown whether it ran ({code}); it was sent to {servers or 'no server'}"
+    return f"unknown whether it ran ({code}); it was sent to {servers or 'nobody'}"
 
 
 def _describe_answer(trace: _Trace) -> str:
