--- a/bench/soakfatal.py
+++ b/bench/soakfatal.py
@@ -133,9 +133,9 @@
         if name in run.leave_times or self._stopped.is_set():
             return
         service = name.partition("-")[0]
-        server = run.start_server(name, service)
-        run.proxies[name].restart(server.address)
-        run.servers[index] = server
+        restarted = run.start_server(name, service)
+        run.proxies[name].restart(restarted.address)
+        run.servers[index] = restarted
         run.register(name, service, run.proxies[name])
 
 
