--- a/celeryspan/catalog.py
+++ b/celeryspan/catalog.py
@@ -207,7 +207,7 @@
     def succeeds(self, other: ServerEntry) -> bool:
         """Whether this is a later incarnation of the same server.
 
-        This can't be told, and is False, if either entry lacks a start time.
+        False if either entry has no start time, because the order is then unknown.
         """
         if self.started_ms is None or other.started_ms is None:
             return False
--- a/celeryspan/publishing.py
+++ b/celeryspan/publishing.py
@@ -144,7 +144,7 @@
         _write_index(client, index, version)
     except errors.Conflict as error:
         # If a layer below this client lost the answer and repeated the write, the
-        # conflict is with our own write; the write id in the index tells.
+        # conflict is with our own write, which the write id in the index shows.
         _check_own_write(client, index, error)
     except errors.StoreUnavailable as error:
         _read_back(client, index, version, error)
