--- a/celeryspan/daemons/gateway.py
+++ b/celeryspan/daemons/gateway.py
@@ -84,8 +84,8 @@
 def handle_signals(stop: stopping.Stopping, path: str) -> None:
     """Begin a graceful stop at the first stop signal; further ones have no effect.
 
-    A platform that repeats SIGTERM must not interrupt the requests of a graceful stop;
-    to end the process at once it has SIGKILL.
+    A platform that repeats its stop signal must not turn a graceful stop into one that
+    interrupts requests; to end the process at once it has another signal.
     """
     for count in itertools.count(1):
         number = signal.sigwait((*STOP_SIGNALS, signal.SIGHUP))
